--- a/src/main/kotlin/mintpick/cli/Rehearsal.kt
+++ b/src/main/kotlin/mintpick/cli/ClassDataTraining.kt
@@ -7,7 +7,7 @@
 import mintpick.core.SECOND
 import mintpick.engine.Engine
 import mintpick.engine.Event
-import mintpick.engine.Owner
+import mintpick.engine.EventLoop
 import mintpick.net.Call
 import mintpick.net.HttpCaller
 import mintpick.net.JdkServer
@@ -24,13 +24,13 @@
  * Runs the service against itself for a moment, so that a class-data archive made of it holds what a real
  * start loads. A third of a core makes loading classes the longest part of a cold start.
  */
-object Rehearsal {
+object ClassDataTraining {
     private const val RUN_MS = 2_500L
 
     fun run() {
         val (api, mesh, outside) = List(3) { freePort() }
         val revision = AtomicLong(1)
-        val standIn: HttpHandler = { request ->
+        val answerOnBehalf: HttpHandler = { request ->
             val path = request.uri.path
             val body =
                 when {
@@ -46,21 +46,21 @@
                 }
             Response(Status.OK).header("Content-Type", "application/json").body(body)
         }
-        JdkServer(Address("127.0.0.1", outside), 2).start { request, respond -> respond(standIn(request)) }
+        JdkServer(Address("127.0.0.1", outside), 2).start { request, respond -> respond(answerOnBehalf(request)) }
         val settings = Settings.parse(settings(api, mesh, outside))
-        lateinit var owner: Owner
-        val caller = HttpCaller { id, outcome -> owner.put(Event.CallDone(id, outcome)) }
-        owner =
-            Owner(
+        lateinit var eventLoop: EventLoop
+        val caller = HttpCaller { id, outcome -> eventLoop.put(Event.CallDone(id, outcome)) }
+        eventLoop =
+            EventLoop(
                 Engine(settings, Operators(), SplittableRandom(1)),
                 caller::start,
                 { System.nanoTime() / MILLI },
                 { System.currentTimeMillis() * MILLI },
             )
-        val routes = Routes(owner::offer, owner::isUp, 8) { System.nanoTime() / MILLI }
+        val routes = Routes(eventLoop::offer, eventLoop::isUp, 8) { System.nanoTime() / MILLI }
         JdkServer(settings.api, 4).start(routes.api)
         JdkServer(settings.mesh, 2).start(routes.mesh)
-        Thread(owner::run, "owner").apply { isDaemon = true }.start()
+        Thread(eventLoop::run, "owner").apply { isDaemon = true }.start()
         val self = HttpCaller { _, _ -> }
         val target = Target.Peer("127.0.0.1:$api")
         repeat(4) {
--- a/src/main/kotlin/mintpick/cli/Main.kt
+++ b/src/main/kotlin/mintpick/cli/Main.kt
@@ -7,7 +7,7 @@
 import mintpick.core.MILLI
 import mintpick.engine.Engine
 import mintpick.engine.Event
-import mintpick.engine.Owner
+import mintpick.engine.EventLoop
 import mintpick.net.HttpCaller
 import mintpick.net.JdkServer
 import mintpick.users.Routes
@@ -32,13 +32,13 @@
     @Option(names = ["--check"], description = ["Check the settings and end."])
     private var checkOnly: Boolean = false
 
-    /** For the build alone: see Rehearsal. */
-    @Option(names = ["--rehearse"], hidden = true)
-    private var rehearse: Boolean = false
+    /** For the build alone: see ClassDataTraining. */
+    @Option(names = ["--train-class-data"], hidden = true)
+    private var trainClassData: Boolean = false
 
     override fun call(): Int {
-        if (rehearse) {
-            Rehearsal.run()
+        if (trainClassData) {
+            ClassDataTraining.run()
             return CommandLine.ExitCode.OK
         }
         val path = config
@@ -68,16 +68,16 @@
         val log = LoggerFactory.getLogger("mintpick")
         JdkServer.prepare(settings.resources.maxConnections * 3 / 4)
         val engine = Engine(settings, operators, SplittableRandom(SecureRandom().nextLong()))
-        lateinit var owner: Owner
-        val caller = HttpCaller { id, outcome -> owner.put(Event.CallDone(id, outcome)) }
+        lateinit var eventLoop: EventLoop
+        val caller = HttpCaller { id, outcome -> eventLoop.put(Event.CallDone(id, outcome)) }
         val steady = { System.nanoTime() / MILLI }
-        owner = Owner(engine, caller::start, steady, { System.currentTimeMillis() * MILLI })
-        val routes = Routes(owner::offer, owner::isUp, maxOf(MIN_WAITING, settings.resources.maxConnections / WAITING_PART), steady)
+        eventLoop = EventLoop(engine, caller::start, steady, { System.currentTimeMillis() * MILLI })
+        val routes = Routes(eventLoop::offer, eventLoop::isUp, maxOf(MIN_WAITING, settings.resources.maxConnections / WAITING_PART), steady)
         JdkServer(settings.mesh, MESH_THREADS).start(routes.mesh)
         JdkServer(settings.api, API_THREADS).start(routes.api)
         Thread(null, { while (true) routes.giveUpLate().also { Thread.sleep(LATE_MS) } }, "late").apply { isDaemon = true }.start()
         log.info("started node={} zone={} api={} mesh={}", settings.node, settings.zone, settings.api, settings.mesh)
-        owner.run()
+        eventLoop.run()
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/core/Placement.kt
+++ b/src/main/kotlin/mintpick/core/Placement.kt
@@ -109,7 +109,7 @@
         rooms: Rooms,
         perZone: Map<String, Int>,
         limit: Int,
-        hurried: Boolean = false,
+        overloaded: Boolean = false,
         avoided: Set<MachineId> = emptySet(),
         spotOnly: Boolean = false,
     ): List<Pair<Int, MachineId>> {
@@ -117,7 +117,7 @@
         val onlyZone = if (spec.oneZone) perZone.entries.firstOrNull { it.value > 0 }?.key ?: bestZone(spec, rooms) else null
         val zones = openZones(spec, rooms, perZone, onlyZone)
         val found =
-            candidates(spec, rooms, zones, limit, hurried)
+            candidates(spec, rooms, zones, limit, overloaded)
                 .filter { (slot, _) -> slot.room.machine !in avoided && (slot.room.spot || !spotOnly) }
         if (found.isEmpty()) {
             if (zones == rooms.zones && avoided.isEmpty() && !spotOnly) rooms.miss(spec)
@@ -143,7 +143,7 @@
 
     /**
      * Machines in [zones] with room for a task of [spec], the best first. What may use spot machines looks at others only if
-     * they do not hold it. The fullest are seen first, so that what is empty stays empty and can be returned; [hurried],
+     * they do not hold it. The fullest are seen first, so that what is empty stays empty and can be returned; [overloaded],
      * with more waiting than can be served, a sample from a random place on is nearly as good and far cheaper.
      */
     private fun candidates(
@@ -151,11 +151,11 @@
         rooms: Rooms,
         zones: Set<String>,
         limit: Int,
-        hurried: Boolean,
+        overloaded: Boolean,
     ): List<Pair<Slot, Int>> {
         val found = ArrayList<Pair<Slot, Int>>()
         val slots = if (spec.isService && !spec.spot) rooms.byServices else rooms.slots
-        val start = if (hurried && !spec.isService && slots.isNotEmpty()) random.nextInt(slots.size) else 0
+        val start = if (overloaded && !spec.isService && slots.isNotEmpty()) random.nextInt(slots.size) else 0
         var held = 0
         for (spot in if (spec.spot) listOf(true, false) else listOf(false)) {
             if (held >= limit && !spec.spread) break
--- a/src/main/kotlin/mintpick/core/Yielding.kt
+++ b/src/main/kotlin/mintpick/core/PreemptionPolicy.kt
@@ -22,7 +22,7 @@
 )
 
 /** Who yields to whom. */
-object Yielding {
+object PreemptionPolicy {
     /**
      * Unallocated work yields to any funded request; funded work only after its window, and only if its
      * team is over share while the claimant's is not. Both only where the platform's rules let work be
--- a/src/main/kotlin/mintpick/core/Demand.kt
+++ b/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
@@ -11,7 +11,7 @@
 )
 
 /** Works out which machines are missing for tasks that have no room. Pure. */
-class Shopper(
+class ScaleOutPlanner(
     private val types: Map<String, MachineType>,
     private val zones: List<String>,
     /** Whether most of an offer's latest machines were late to boot, or have never come up. */
--- a/src/main/kotlin/mintpick/core/TeamRoom.kt
+++ b/src/main/kotlin/mintpick/core/TeamQuota.kt
@@ -6,7 +6,7 @@
  * What teams may still use under their limits, as one pass gives it out. [limits] names every team, with [UNLIMITED] for a
  * resource without a limit; [usedBy] is what a team uses before the pass.
  */
-class TeamRoom(
+class TeamQuota(
     private val limits: Map<String, Resources>,
     private val usedBy: (String) -> Resources,
 ) {
--- a/src/main/kotlin/mintpick/engine/Fleet.kt
+++ b/src/main/kotlin/mintpick/engine/AgentRegistry.kt
@@ -20,10 +20,10 @@
 import org.slf4j.LoggerFactory
 
 /** The machines as their workers show them: takes reports, sends commands, and knows who is in touch. */
-class Fleet(
+class AgentRegistry(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
     private val health: ControllerHealth,
     private val commandPlanner: CommandPlanner,
 ) {
@@ -41,7 +41,7 @@
     )
 
     /** Since when a machine has been ours without a break, and the token that it began with. */
-    private class Tenure(
+    private class ControlPeriod(
         val sinceUs: Micros,
         val token: Long,
     )
@@ -56,34 +56,34 @@
     private val unservedIn = HashMap<Int, HashMap<MachineId, Micros>>()
     private val failures = HashMap<MachineId, Failures>()
     private val reachedUs = HashMap<String, Micros>()
-    private val mineSince = HashMap<MachineId, Tenure>()
-    private val buried = HashSet<MachineId>()
+    private val controlledSince = HashMap<MachineId, ControlPeriod>()
+    private val terminated = HashSet<MachineId>()
     private val heard = HashSet<MachineId>()
     private var suspectCalls = 0
     private var epochSeen = -1L
     private var nextTickUs: Micros = 0
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun view(machine: MachineId): MachineView? = views[machine]
 
     fun views(): Collection<MachineView> = views.values
 
     /** Machines that are ours to command. */
-    val mine: Set<MachineId> get() = mineSince.keys
+    val mine: Set<MachineId> get() = controlledSince.keys
 
     /** Machines heard since the last call. */
     fun takeHeard(): Set<MachineId> = heard.toSet().also { heard.clear() }
 
     /** Proven gone: what still comes under this name are late copies, which must not make a record of it again. */
-    fun bury(machine: MachineId) {
-        buried += machine
+    fun markTerminated(machine: MachineId) {
+        terminated += machine
         views.remove(machine)
         redirects.remove(machine)
         confirmAfter.remove(machine)
         failures.remove(machine)
-        mineSince.remove(machine)
-        ownership.forget(machine)
+        controlledSince.remove(machine)
+        shardClaims.forget(machine)
     }
 
     /** Heard lately enough to be given work. */
@@ -94,8 +94,8 @@
      * prove no more than that somebody sent them once: copies may arrive much later.
      */
     fun isConfirmed(view: MachineView): Boolean {
-        val claim = ownership.control(view.id) ?: return false
-        return ownership.isMine(claim) && view.latest != null && view.token >= claim.version
+        val claim = shardClaims.control(view.id) ?: return false
+        return shardClaims.isMine(claim) && view.latest != null && view.token >= claim.version
     }
 
     /** Answers and commands have not got through to it since a call that failed; its reports may still come. */
@@ -131,19 +131,19 @@
         val since = cutOffSinceUs
         if (since == null) {
             if (failures.size >= CUT_OFF && context.now - reached > NONE_REACHED) cutOffSinceUs = context.now
-        } else if (reached > since || replica.machines.isEmpty()) {
+        } else if (reached > since || cache.machines.isEmpty()) {
             cutOffSinceUs = null
         }
     }
 
     /** The process stood still: calls that failed meanwhile, and silences, say nothing of the machines. */
-    fun stoodStill() {
+    fun onProcessPause() {
         failures.clear()
         cutOffSinceUs = null
-        stoodStillUs = context.now
+        processPausedUs = context.now
     }
 
-    private var stoodStillUs: Micros = 0
+    private var processPausedUs: Micros = 0
 
     /** Calls that failed one after the other, and since when. */
     fun failedCalls(machine: MachineId): Int = failures[machine]?.count ?: 0
@@ -155,8 +155,8 @@
         reply: ReplyTo,
     ) {
         val id = MachineId(report.machine)
-        if (id in buried) return context.send(reply, misdirected(null))
-        ownership.meet(id, report.zone)
+        if (id in terminated) return context.send(reply, misdirected(null))
+        shardClaims.register(id, report.zone)
         val view = views.getOrPut(id) { MachineView(id, context.now) }
         val awaited = view.awaits(report)
         val fresh = view.take(report, context.now, direct = false)
@@ -164,7 +164,7 @@
         // In a cut from the workers neither calls nor reports get through.
         if (awaited) reachedUs[report.zone] = context.now
         if (awaited && isUnserved(id)) {
-            adopt(view, report, reply)
+            takeOver(view, report, reply)
         } else {
             context.send(reply, answer(id, view, report, awaited && fresh, awaited))
         }
@@ -175,14 +175,14 @@
      * of its lease on controllers that it can't reach. The call tells a live machine whose commands get through
      * from a late copy of a report, and from one that only its reports leave.
      */
-    private fun adopt(
+    private fun takeOver(
         view: MachineView,
         report: MachineReport,
         reply: ReplyTo,
     ) {
         val id = view.id
-        val shard = ownership.shard(id)
-        val from = ownership.control(id)?.node
+        val shard = shardClaims.shard(id)
+        val from = shardClaims.control(id)?.node
         if (shard == null || from == null) return context.send(reply, misdirected(null))
         val peers = unservedIn.getOrPut(shard) { HashMap() }
         peers[id] = context.now
@@ -190,7 +190,12 @@
         inspect(view) { ok ->
             val whole = peers.size >= WHOLE_SHARD || !health.hears(from)
             if (ok) {
-                ownership.adopt(id, whole, from, "unserved") { context.send(reply, answer(id, view, report, view.latest === report, true)) }
+                shardClaims.takeOver(
+                    id,
+                    whole,
+                    from,
+                    "unserved",
+                ) { context.send(reply, answer(id, view, report, view.latest === report, true)) }
             } else {
                 context.send(reply, answer(id, view, report, fresh = false, awaited = true))
             }
@@ -204,12 +209,12 @@
         fresh: Boolean,
         awaited: Boolean,
     ): Answer {
-        val claim = ownership.control(id)
-        if (!link.hasLoaded || claim == null) return errorAnswer(UNAVAILABLE, "not ready")
-        if (claim.node != context.me) return if (awaited) standIn(view, report, claim) ?: redirect(claim) else redirect(claim)
+        val claim = shardClaims.control(id)
+        if (!stateStore.hasLoaded || claim == null) return errorAnswer(UNAVAILABLE, "not ready")
+        if (claim.node != context.me) return if (awaited) answerOnBehalf(view, report, claim) ?: redirect(claim) else redirect(claim)
         if (claim.version < report.token) {
             // Either a borrowing has ended, or we have been deposed and do not know it yet.
-            ownership.raise(id, "seen-higher")
+            shardClaims.raise(id, "seen-higher")
             return misdirected(null)
         }
         if (!health.mayAnswerWorkers()) return misdirected(null)
@@ -217,7 +222,7 @@
         // Our earlier process may have left starts under way that only the next token ends, so nothing else is said till then.
         val commands =
             if (fresh &&
-                ownership.isMine(claim)
+                shardClaims.isMine(claim)
             ) {
                 commandPlanner.answerFor(view, claim)
             } else {
@@ -244,19 +249,19 @@
      */
     private fun isCrowded(): Boolean {
         val keep = context.settings.resources.maxConnections * 2 / 5
-        return keep in 1 until mineSince.size && context.random.nextInt(mineSince.size) >= keep
+        return keep in 1 until controlledSince.size && context.random.nextInt(controlledSince.size) >= keep
     }
 
     /**
      * Exception: in a cut of our zone we keep alive what others command here, with their token, and start nothing. Only
      * work that was cancelled before the cut is stopped.
      */
-    private fun standIn(
+    private fun answerOnBehalf(
         view: MachineView,
         report: MachineReport,
         claim: Claim,
     ): Answer? {
-        if (report.zone != context.settings.zone || claim.version < report.token || !health.mayStandInFor(claim.node)) return null
+        if (report.zone != context.settings.zone || claim.version < report.token || !health.mayAnswerFor(claim.node)) return null
         view.answeredReport(context.now)
         return answer(claim, commandPlanner.stopsOfCancelled(view))
     }
@@ -264,12 +269,12 @@
     private fun misdirected(node: String?): Answer =
         Answer.json(MISDIRECTED, WireJson.encodeToString(Misdirected.serializer(), Misdirected(node)))
 
-    private fun redirect(claim: Claim): Answer = misdirected(if (ownership.isLive(claim.node)) claim.node.text else null)
+    private fun redirect(claim: Claim): Answer = misdirected(if (shardClaims.isLive(claim.node)) claim.node.text else null)
 
     /** A worker that keeps coming although it was sent to its controller, or whose controller is silent to us too. */
     private fun isUnserved(id: MachineId): Boolean {
-        val claim = ownership.control(id)
-        if (!health.healthy() || claim == null || claim.node == context.me || !ownership.isLive(claim.node)) return false
+        val claim = shardClaims.control(id)
+        if (!health.healthy() || claim == null || claim.node == context.me || !shardClaims.isLive(claim.node)) return false
         val seen = redirects.getOrPut(id) { Redirects(context.now, context.now, 0) }
         if (context.now - seen.last > REDIRECT_MEMORY) {
             seen.first = context.now
@@ -279,7 +284,7 @@
         seen.count++
         // Whoever has just claimed it is alive to the state service, though we may not hear them: they are tried first.
         // While controllers refused each other's connections, shards once went back and forth until leases lapsed.
-        val settled = ownership.isSettled(id)
+        val settled = shardClaims.isSettled(id)
         val unserved =
             (settled && !health.hears(claim.node)) ||
                 (seen.count >= REDIRECTS && context.now - seen.first > REDIRECT_SPAN && !health.heardElsewhere(id, claim.node))
@@ -292,15 +297,15 @@
         report: MachineReport,
     ) {
         heard += view.id
-        val cache = replica.types[report.type]?.cacheGb ?: 0.0
+        val cacheGb = cache.types[report.type]?.cacheGb ?: 0.0
         for ((attempt, task) in view.reported) {
             if (task.state == TaskState.FETCHING || task.state == TaskState.EXITED) continue
-            val job = replica.job(attempt.task.job) ?: continue
+            val job = cache.job(attempt.task.job) ?: continue
             if (LOG.isDebugEnabled && running.add(attempt)) {
                 val waited = (context.wall - job.submittedUs) / MILLI
                 LOG.debug("running task={} attempt={} machine={} waited_ms={}", attempt.task, attempt.attempt, view.id.text, waited)
             }
-            view.sawImage(job.spec.image, job.spec.imageGb, cache)
+            view.sawImage(job.spec.image, job.spec.imageGb, cacheGb)
         }
     }
 
@@ -310,8 +315,8 @@
             again += machine
             return
         }
-        val claim = ownership.control(machine) ?: return
-        if (!ownership.isMine(claim) || !health.healthy() || machine in buried) return
+        val claim = shardClaims.control(machine) ?: return
+        if (!shardClaims.isMine(claim) || !health.healthy() || machine in terminated) return
         val view = views.getOrPut(machine) { MachineView(machine, context.now) }
         val address = addressOf(view) ?: return
         val commands = if (view.latest == null) emptyList() else commandPlanner.commandsFor(view, claim)
@@ -335,7 +340,7 @@
         }
     }
 
-    private fun addressOf(view: MachineView): String? = view.latest?.address ?: replica.machines[view.id]?.record?.address
+    private fun addressOf(view: MachineView): String? = view.latest?.address ?: cache.machines[view.id]?.record?.address
 
     /** Calls to machines that do not answer are few at a time and further and further apart. */
     private fun mayCall(machine: MachineId): Boolean {
@@ -345,7 +350,7 @@
 
     /** Beyond a cut a few calls are enough to see when it ends; the rest would only take time and sockets. */
     private fun mostSuspectCalls(machine: MachineId): Int =
-        if (health.openSince(replica.machines[machine]?.record?.zone) == null) MAX_CALLS_BEYOND else MAX_SUSPECT_CALLS
+        if (health.openSince(cache.machines[machine]?.record?.zone) == null) MAX_CALLS_BEYOND else MAX_SUSPECT_CALLS
 
     private fun call(
         machine: MachineId,
@@ -360,8 +365,8 @@
             if (suspect) suspectCalls--
             if (then(WorkerProtocol.read(outcome))) {
                 failures.remove(machine)
-                replica.machines[machine]?.let { reachedUs[it.record.zone] = context.now }
-            } else if (machine !in buried) {
+                cache.machines[machine]?.let { reachedUs[it.record.zone] = context.now }
+            } else if (machine !in terminated) {
                 val failing = failures.getOrPut(machine) { Failures(context.now, 0, 0) }
                 failing.count++
                 failing.nextUs = context.now + minOf(RETRY_MOST, RETRY_LEAST * failing.count)
@@ -396,26 +401,26 @@
      * come under our control was reporting elsewhere until now.
      */
     fun silentSince(machine: MachineId): Micros =
-        maxOf(views[machine]?.heardUs ?: 0, mineSince[machine]?.sinceUs ?: context.now, stoodStillUs)
+        maxOf(views[machine]?.heardUs ?: 0, controlledSince[machine]?.sinceUs ?: context.now, processPausedUs)
 
     /** Ours since a moment ago, and not yet in touch with us or not yet fully known from the records. */
     fun isSettling(machine: MachineId): Boolean {
-        val claim = ownership.control(machine) ?: return false
-        if (context.now - (mineSince[machine]?.sinceUs ?: context.now) > SETTLING) return false
-        return replica.revision < claim.version || (views[machine]?.token ?: 0) < claim.version
+        val claim = shardClaims.control(machine) ?: return false
+        if (context.now - (controlledSince[machine]?.sinceUs ?: context.now) > SETTLING) return false
+        return cache.revision < claim.version || (views[machine]?.token ?: 0) < claim.version
     }
 
     /** The machine's worker has surely killed its tasks: nobody can have renewed its lease. */
     fun hasLapsed(view: MachineView): Boolean {
-        val tenure = mineSince[view.id] ?: return false
-        if (!ownership.controls(view.id) ||
+        val tenure = controlledSince[view.id] ?: return false
+        if (!shardClaims.controls(view.id) ||
             !view.hasLapsed(context.now, tenure.sinceUs, tenure.token, context.settings.leaseUs)
         ) {
             return false
         }
         // Somebody in its zone may have answered it for us.
-        val standIn = health.standInUntil(replica.machines[view.id]?.record?.zone) ?: return false
-        return MachineView.isLeaseOver(context.now, standIn, context.settings.leaseUs)
+        val answerOnBehalf = health.answeredOnBehalfUntil(cache.machines[view.id]?.record?.zone) ?: return false
+        return MachineView.isLeaseOver(context.now, answerOnBehalf, context.settings.leaseUs)
     }
 
     /**
@@ -423,21 +428,21 @@
      * a machine that had just come back to us was once given up for calls that had failed before we lost it.
      */
     fun watchControl() {
-        if (replica.controlEpoch == epochSeen && link.lease == leaseSeen) return
-        epochSeen = replica.controlEpoch
-        leaseSeen = link.lease
-        for (known in replica.machines.values) {
-            val claim = ownership.control(known.id)
-            if (!ownership.isMine(claim)) {
-                mineSince.remove(known.id)
-            } else if (known.id !in mineSince) {
-                mineSince[known.id] = Tenure(context.now, claim?.version ?: 0)
+        if (cache.controlEpoch == epochSeen && stateStore.lease == leaseSeen) return
+        epochSeen = cache.controlEpoch
+        leaseSeen = stateStore.lease
+        for (known in cache.machines.values) {
+            val claim = shardClaims.control(known.id)
+            if (!shardClaims.isMine(claim)) {
+                controlledSince.remove(known.id)
+            } else if (known.id !in controlledSince) {
+                controlledSince[known.id] = ControlPeriod(context.now, claim?.version ?: 0)
                 // What failed while it was another's says nothing of now.
                 failures.remove(known.id)
             }
         }
-        mineSince.keys.retainAll(replica.machines.keys)
-        failures.keys.retainAll(replica.machines.keys)
+        controlledSince.keys.retainAll(cache.machines.keys)
+        failures.keys.retainAll(cache.machines.keys)
     }
 
     private var leaseSeen: Long? = null
@@ -446,17 +451,17 @@
     fun tick(touched: Collection<MachineId>) {
         watchCutOff()
         if (!health.healthy()) return
-        touched.forEach { if (it in mineSince) push(it) }
+        touched.forEach { if (it in controlledSince) push(it) }
         if (context.now < nextTickUs) return
         nextTickUs = context.now + TICK
         commandPlanner.clean()
         if (isCutOff) probeLost()
         // Hundreds at once would keep users waiting: most confirm themselves with their next reports.
         var confirmations = 0
-        for (id in mineSince.keys) {
+        for (id in controlledSince.keys) {
             val view = views[id]
-            val claim = ownership.control(id) ?: continue
-            if (view != null && view.needsHigherToken && context.now - view.heardUs < RECENT) ownership.raise(id, "lost-start")
+            val claim = shardClaims.control(id) ?: continue
+            if (view != null && view.needsHigherToken && context.now - view.heardUs < RECENT) shardClaims.raise(id, "lost-start")
             val unconfirmed = view?.latest == null || view.token < claim.version
             if (unconfirmed && context.now >= (confirmAfter[id] ?: 0) && confirmations < MAX_CONFIRMATIONS) {
                 confirmations++
@@ -473,7 +478,7 @@
      * workers is open again, and we would take part in nothing for ever.
      */
     private fun probeLost() {
-        val lost = replica.machines.keys.filter { it !in mineSince }
+        val lost = cache.machines.keys.filter { it !in controlledSince }
         if (lost.isEmpty()) return
         val machine = lost[context.random.nextInt(lost.size)]
         views.getOrPut(machine) { MachineView(machine, context.now) }
@@ -481,7 +486,7 @@
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Fleet::class.java)
+        private val LOG = LoggerFactory.getLogger(AgentRegistry::class.java)
         private const val OK = 200
         private const val MISDIRECTED = 421
         private const val UNAVAILABLE = 503
--- a/src/main/kotlin/mintpick/engine/Supply.kt
+++ b/src/main/kotlin/mintpick/engine/CapacityPlanner.kt
@@ -7,8 +7,8 @@
 import mintpick.core.Resources
 import mintpick.core.Room
 import mintpick.core.SECOND
-import mintpick.core.Shopper
-import mintpick.core.TeamRoom
+import mintpick.core.ScaleOutPlanner
+import mintpick.core.TeamQuota
 import mintpick.core.capacity
 import mintpick.core.demand
 import mintpick.core.isGang
@@ -20,16 +20,16 @@
 import kotlin.math.ceil
 
 /** The leader's policy: how much room to keep, what to rent for it, and what to return. */
-class Supply(
+class CapacityPlanner(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
-    private val observer: Observer,
-    private val capacity: Capacity,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val reconciler: Reconciler,
+    private val cloudInventory: CloudInventory,
     private val machineRegistry: MachineRegistry,
     private val commandPlanner: CommandPlanner,
-    private val scheduling: Scheduling,
+    private val scheduler: Scheduler,
     private val health: ControllerHealth,
     private val operators: Operators,
 ) {
@@ -47,24 +47,24 @@
     private var nextUs: Micros = 0
     private var nextLogUs: Micros = 0
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun tick() {
-        if (!link.serving || context.now < nextUs) return
-        nextUs = context.now + TICK + TICK * replica.machines.size / MANY
+        if (!stateStore.serving || context.now < nextUs) return
+        nextUs = context.now + TICK + TICK * cache.machines.size / MANY
         watchClasses()
         watchIdle()
         watchHealth()
         // A leader that the state service does not serve has perhaps been replaced already.
-        if (!ownership.isLeader || !health.healthy() || replica.types.isEmpty() || context.now - link.servingSinceUs < SETTLE) return
+        if (!shardClaims.isLeader || !health.healthy() || cache.types.isEmpty() || context.now - stateStore.servingSinceUs < SETTLE) return
         logFleet()
-        val shopper = Shopper(replica.types, context.settings.zones, capacity::isTroubled, capacity::available)
+        val scaleOutPlanner = ScaleOutPlanner(cache.types, context.settings.zones, cloudInventory::isTroubled, cloudInventory::available)
         val rooms = rooms()
-        val plan = shopper.plan(rooms, (waiting(rooms) + expected()).sortedBy { !it.spec.isService }, MAX_NEW)
+        val plan = scaleOutPlanner.plan(rooms, (waiting(rooms) + expected()).sortedBy { !it.spec.isService }, MAX_NEW)
         // The most needed first: requests are few.
         plan.rent.entries
             .sortedByDescending { it.value }
-            .forEach { (offer, count) -> capacity.rent(offer, count, "demand") }
+            .forEach { (offer, count) -> cloudInventory.rent(offer, count, "demand") }
         if (plan.rent.isEmpty()) returnIdle(plan.unused)
     }
 
@@ -76,11 +76,11 @@
         if (context.now < nextLogUs) return
         nextLogUs = context.now + LOG_EVERY
         for (spot in listOf(true, false)) {
-            val machines = replica.machines.values.filter { it.record.spot == spot && !observer.isGone(it.id) }
-            val cpus = machines.sumOf { replica.types[it.record.type]?.cpus ?: 0.0 }
-            val recorded = machines.sumOf { replica.usedOn(it.id).cpus }
-            val used = machines.sumOf { minOf(replica.usedOn(it.id).cpus, replica.types[it.record.type]?.cpus ?: 0.0) }
-            val empty = machines.count { replica.tasksOn(it.id).isEmpty() }
+            val machines = cache.machines.values.filter { it.record.spot == spot && !reconciler.isGone(it.id) }
+            val cpus = machines.sumOf { cache.types[it.record.type]?.cpus ?: 0.0 }
+            val recorded = machines.sumOf { cache.usedOn(it.id).cpus }
+            val used = machines.sumOf { minOf(cache.usedOn(it.id).cpus, cache.types[it.record.type]?.cpus ?: 0.0) }
+            val empty = machines.count { cache.tasksOn(it.id).isEmpty() }
             LOG.info(
                 "fleet spot={} machines={} empty={} cpus={} used={} ended={} booting={} waiting={}",
                 spot,
@@ -89,16 +89,16 @@
                 cpus,
                 used.toInt(),
                 (recorded - used).toInt(),
-                capacity.booting.values.count { it.offer.spot == spot },
-                replica.jobs.sumOf { it.waiting },
+                cloudInventory.booting.values.count { it.offer.spot == spot },
+                cache.jobs.sumOf { it.waiting },
             )
         }
     }
 
     private fun watchClasses() {
         val wanted = HashMap<String, Int>()
-        val teams = scheduling.teamRoom()
-        for (job in replica.jobs) {
+        val teams = scheduler.teamQuota()
+        for (job in cache.jobs) {
             if (job.stage != StoredStage.OPEN) continue
             val seen = classes.getOrPut(job.spec.jobClass) { Seen(job.spec) }
             seen.spec = job.spec
@@ -118,40 +118,40 @@
     /** Tasks of [job] that machines would help: neither held back by its team's limit nor failing wherever they run. */
     private fun usable(
         job: Job,
-        teams: TeamRoom,
-    ): Int = minOf(scheduling.startable(job), teams.tasks(job.spec)).also { teams.take(job.spec, it) }
+        teams: TeamQuota,
+    ): Int = minOf(scheduler.startable(job), teams.tasks(job.spec)).also { teams.take(job.spec, it) }
 
     private fun watchIdle() {
-        for (id in replica.machines.keys) {
-            if (replica.tasksOn(id).isEmpty()) idleSince.putIfAbsent(id, context.now) else idleSince.remove(id)
+        for (id in cache.machines.keys) {
+            if (cache.tasksOn(id).isEmpty()) idleSince.putIfAbsent(id, context.now) else idleSince.remove(id)
         }
-        idleSince.keys.retainAll(replica.machines.keys)
+        idleSince.keys.retainAll(cache.machines.keys)
     }
 
     /** Machines as they are or will be: the fullest first, so that what is empty stays empty. */
     private fun rooms(): List<Room> {
         val known =
-            replica.machines.values.mapNotNull { machine ->
-                val type = replica.types[machine.record.type]
+            cache.machines.values.mapNotNull { machine ->
+                val type = cache.types[machine.record.type]
                 val lost =
-                    fleet.view(machine.id)?.let {
-                        ownership.controls(machine.id) &&
-                            (!fleet.isFresh(it) || commandPlanner.isEmptying(it, ownership.control(it.id)))
+                    agents.view(machine.id)?.let {
+                        shardClaims.controls(machine.id) &&
+                            (!agents.isFresh(it) || commandPlanner.isEmptying(it, shardClaims.control(it.id)))
                     }
                         ?: false
-                if (type == null || machine.record.retiring != Retiring.NO || observer.isGone(machine.id) || lost) {
+                if (type == null || machine.record.retiring != Retiring.NO || reconciler.isGone(machine.id) || lost) {
                     null
                 } else {
-                    val free = type.capacity - replica.usedOn(machine.id)
+                    val free = type.capacity - cache.usedOn(machine.id)
                     val record = machine.record
                     Room(machine.id, type.name, record.zone, record.spot, free, type.capacity, { false }, true, yielding(machine.id))
                 }
             }
         val coming =
-            capacity.booting.values.mapNotNull { machine ->
-                val type = replica.types[machine.offer.type] ?: return@mapNotNull null
+            cloudInventory.booting.values.mapNotNull { machine ->
+                val type = cache.types[machine.offer.type] ?: return@mapNotNull null
                 // Some machines take several times as long to boot, or forever: nobody should wait for them.
-                if (capacity.isLate(machine)) return@mapNotNull null
+                if (cloudInventory.isLate(machine)) return@mapNotNull null
                 Room(
                     machine.id,
                     type.name,
@@ -165,8 +165,8 @@
                 )
             }
         val asked =
-            capacity.asked().flatMap { (offer, count) ->
-                val type = replica.types[offer.type]
+            cloudInventory.asked().flatMap { (offer, count) ->
+                val type = cache.types[offer.type]
                 List(if (type == null) 0 else count) { i ->
                     val size = requireNotNull(type).capacity
                     Room(MachineId("asked-$i"), offer.type, offer.zone, offer.spot, size, size, { false }, true, up = false)
@@ -176,32 +176,32 @@
     }
 
     /** What batch work holds on a machine: services may have it, so it is no reason to rent more for them. */
-    private fun yielding(machine: MachineId): Resources = replica.usedOn(machine) - replica.servicesOn(machine)
+    private fun yielding(machine: MachineId): Resources = cache.usedOn(machine) - cache.servicesOn(machine)
 
     /**
      * Work that may use spot machines is worth ordinary ones when the spot machines would need too long for
      * what waits: longer than a part of what its class is expected to take altogether.
      */
-    private fun waiting(rooms: List<Room>): List<Shopper.Want> {
+    private fun waiting(rooms: List<Room>): List<ScaleOutPlanner.Want> {
         val spotCpus = rooms.filter { it.spot }.sumOf { it.total.cpus }
         var queued = 0.0
-        val teams = scheduling.teamRoom()
-        return scheduling
-            .order(replica.waitingJobs())
+        val teams = scheduler.teamQuota()
+        return scheduler
+            .order(cache.waitingJobs())
             .mapNotNull { job ->
                 // What its team's limit holds back now takes its time on the machines all the same.
-                queued += scheduling.startable(job) * job.spec.cpus * job.spec.estimateS
+                queued += scheduler.startable(job) * job.spec.cpus * job.spec.estimateS
                 val count = usable(job, teams)
                 if (count == 0) return@mapNotNull null
                 val patience = (expectation[job.spec.jobClass] ?: DEFAULT_EXPECTATION_S) * operators.queuePart
-                val isSpare = scheduling.keepsToSpot(job)
-                Shopper.Want(job.spec, count, scheduling.zonesOf(job), !isSpare && queued > patience * spotCpus, isSpare)
+                val isSpare = scheduler.keepsToSpot(job)
+                ScaleOutPlanner.Want(job.spec, count, scheduler.zonesOf(job), !isSpare && queued > patience * spotCpus, isSpare)
             }.let(::merged)
             .take(MAX_WANTS)
     }
 
     /** Jobs that need the same count as one: hundreds of services that wait at once are few kinds. */
-    private fun merged(wants: List<Shopper.Want>): List<Shopper.Want> =
+    private fun merged(wants: List<ScaleOutPlanner.Want>): List<ScaleOutPlanner.Want> =
         wants
             .groupBy { want ->
                 val spec = want.spec
@@ -227,13 +227,13 @@
             .mapValues { (_, aims) -> aims.minOf { it.withinS } }
 
     /** Room for work that has not come yet: like the recent peak for batch work, some spare replicas in each zone for services. */
-    private fun expected(): List<Shopper.Want> =
+    private fun expected(): List<ScaleOutPlanner.Want> =
         classes.values.mapNotNull { seen ->
             val now = seen.history.lastOrNull()?.second ?: 0
             if (seen.spec.isService) {
                 val spare = maxOf(seen.largest, ceil(now * operators.serviceHeadroom).toInt())
                 val spec = seen.spec.copy(tasks = spare * 2, spread = context.settings.zones.size > 1, zone = null)
-                Shopper.Want(spec, spare * 2)
+                ScaleOutPlanner.Want(spec, spare * 2)
             } else {
                 val peak = seen.history.maxOfOrNull { it.second } ?: 0
                 val spare = ceil(peak * operators.batchHeadroom).toInt() - now
@@ -242,14 +242,14 @@
                 ) {
                     null
                 } else {
-                    Shopper.Want(seen.spec.copy(spread = false, oneZone = false), spare, ordinary = false, spare = true)
+                    ScaleOutPlanner.Want(seen.spec.copy(spread = false, oneZone = false), spare, ordinary = false, spare = true)
                 }
             }
         }
 
     private fun returnIdle(unused: Set<MachineId>) {
         // One whose mark waits to be written would be picked again and again, and keep the others from being returned.
-        val idle = unused.mapNotNull { replica.machines[it] }.filterNot { machineRegistry.isMarked(it.id) }.sortedBy { it.id.text }
+        val idle = unused.mapNotNull { cache.machines[it] }.filterNot { machineRegistry.isMarked(it.id) }.sortedBy { it.id.text }
         val (spot, ordinary) = idle.partition { it.record.spot }
         // Ordinary machines cost several times as much: beyond a few that may soon be wanted again they go early.
         val due =
@@ -266,11 +266,11 @@
     /** Each controller empties the faulty ones among its machines: only it sees what fails there. */
     private fun watchHealth() {
         if (!health.healthy()) return
-        observer.failures.faultyMachines().forEach { machineRegistry.retire(it, Retiring.DRAIN, "errors") }
+        reconciler.failures.faultyMachines().forEach { machineRegistry.retire(it, Retiring.DRAIN, "errors") }
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Supply::class.java)
+        private val LOG = LoggerFactory.getLogger(CapacityPlanner::class.java)
         private const val LOG_EVERY: Micros = 20 * SECOND
         private const val TICK: Micros = SECOND / 2
         private const val MANY = 1000
--- a/src/main/kotlin/mintpick/engine/Capacity.kt
+++ b/src/main/kotlin/mintpick/engine/CloudInventory.kt
@@ -21,12 +21,12 @@
  * The machines as the cloud has them: lists them, rents and returns them, and proves machines gone.
  * Every controller lists, since every one may need the proof; the leader alone rents and returns.
  */
-class Capacity(
+class CloudInventory(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
-    private val observer: Observer,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val reconciler: Reconciler,
     private val health: ControllerHealth,
     private val formats: FormatGate,
 ) {
@@ -45,9 +45,9 @@
     private val protocol = CloudProtocol(context.settings.cloud.toString())
 
     /** The leader alone rents and returns; lists, which every controller needs, have a part of the limit of their own. */
-    private val requests = Bucket(context.settings.cloudRps * RENT_PART, maxOf(1.0, context.settings.cloudRps * RENT_PART * 2))
+    private val requests = TokenBucket(context.settings.cloudRps * RENT_PART, maxOf(1.0, context.settings.cloudRps * RENT_PART * 2))
     private val lists =
-        (context.settings.cloudRps * LIST_PART / (context.settings.peers.size + 1)).let { Bucket(it, maxOf(1.0, it * 2)) }
+        (context.settings.cloudRps * LIST_PART / (context.settings.peers.size + 1)).let { TokenBucket(it, maxOf(1.0, it * 2)) }
     private val firstKnown = HashMap<MachineId, Micros>()
     val booting = LinkedHashMap<MachineId, Booting>()
     private val refusedUntil = HashMap<Offer, Micros>()
@@ -62,7 +62,7 @@
     private var rentals = 0
     private val incarnation = java.lang.Long.toString(context.random.nextLong(Long.MAX_VALUE), RADIX)
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun available(offer: Offer): Boolean = context.now >= (refusedUntil[offer] ?: 0)
 
@@ -74,30 +74,30 @@
     }
 
     fun tick() {
-        if (!link.serving) return
+        if (!stateStore.serving) return
         if (context.now >= nextNoticeUs) notice()
         if (context.now >= nextTypesUs) fetchTypes()
         // Just after a start there is more urgent work than reading a thousand machines.
-        if (context.now >= nextListUs && context.now - link.servingSinceUs > SETTLE) list()
+        if (context.now >= nextListUs && context.now - stateStore.servingSinceUs > SETTLE) list()
         retryRentals()
-        if (ownership.isLeader && health.healthy() && context.now >= nextReleaseUs) release()
+        if (shardClaims.isLeader && health.healthy() && context.now >= nextReleaseUs) release()
     }
 
     private fun notice() {
         nextNoticeUs = context.now + NOTICE_EVERY
-        replica.machines.keys.forEach { firstKnown.putIfAbsent(it, context.now) }
-        replica.machinesWithTasks().forEach { firstKnown.putIfAbsent(it, context.now) }
-        fleet.views().forEach { view ->
+        cache.machines.keys.forEach { firstKnown.putIfAbsent(it, context.now) }
+        cache.machinesWithTasks().forEach { firstKnown.putIfAbsent(it, context.now) }
+        agents.views().forEach { view ->
             firstKnown.putIfAbsent(view.id, context.now)
-            if (fleet.isConfirmed(view)) endBoot(view.id)
+            if (agents.isConfirmed(view)) endBoot(view.id)
         }
-        replica.machines.keys.forEach(::endBoot)
+        cache.machines.keys.forEach(::endBoot)
         booting.values.forEach(::noticeMissing)
     }
 
     private fun endBoot(machine: MachineId) {
         val up = booting.remove(machine) ?: return
-        val heard = fleet.view(machine)?.firstHeardUs ?: return
+        val heard = agents.view(machine)?.firstHeardUs ?: return
         val nominal = bootUs(up)
         if (!up.isMissing && nominal > 0) bootTimes.booted(up.kind, (heard - up.sinceUs).toDouble() / nominal)
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    private fun bootUs(waiting: Booting): Micros = ((replica.types[waiting.offer.type]?.bootS ?: 0.0) * SECOND).toLong()
+    private fun bootUs(waiting: Booting): Micros = ((cache.types[waiting.offer.type]?.bootS ?: 0.0) * SECOND).toLong()
 
     private fun isBehind(
         waiting: Booting,
@@ -129,23 +129,23 @@
     fun isTroubled(offer: Offer): Boolean = bootTimes.isTroubled(BootKind(offer.type, offer.zone))
 
     private fun fetchTypes() {
-        if (replica.types.isNotEmpty() && !ownership.isLeader) return
+        if (cache.types.isNotEmpty() && !shardClaims.isLeader) return
         if (!lists.take(context.now, 1.0)) return
         nextTypesUs = context.now + RETRY
         context.call(protocol.types()) { outcome ->
             val result = protocol.readTypes(outcome)
             if (result !is CloudProtocol.Result.Ok || result.value.types.isEmpty()) return@call
             nextTypesUs = context.now + TYPES_EVERY
-            if (result.value.types != replica.types.values.toList()) storeTypes(result.value.types)
+            if (result.value.types != cache.types.values.toList()) storeTypes(result.value.types)
         }
     }
 
     /** Types that one value can't hold go on in further pieces, which versions that know but one do not look for. */
     private fun storeTypes(types: List<MachineType>) {
-        val pieces = Replica.typePieces(types, formats.valueBytes, formats.current == RecordFormat.VERBOSE)
+        val pieces = LocalCache.typePieces(types, formats.valueBytes, formats.current == RecordFormat.VERBOSE)
         val writes = pieces.mapIndexed { i, value -> Write(Keys.types(i), value) }
-        val obsolete = (pieces.size until replica.typePieceCount).map { Write(Keys.types(it), null) }
-        (writes + obsolete).chunked(context.settings.limits.transactionOps).forEach { link.transact(emptyList(), it) { } }
+        val obsolete = (pieces.size until cache.typePieceCount).map { Write(Keys.types(it), null) }
+        (writes + obsolete).chunked(context.settings.limits.transactionOps).forEach { stateStore.transact(emptyList(), it) { } }
     }
 
     /** A reading of the cloud's list, page after page; a page that fails is asked for again, those before it are not. */
@@ -179,7 +179,7 @@
 
     private fun endList(list: Listing) {
         listing = null
-        nextListUs = context.now + if (ownership.isLeader) LIST_EVERY else LIST_EVERY * 2
+        nextListUs = context.now + if (shardClaims.isLeader) LIST_EVERY else LIST_EVERY * 2
         listed(list.machines, list.startedUs)
     }
 
@@ -191,11 +191,11 @@
         for (machine in machines) {
             val id = MachineId(machine.id)
             present += id
-            if (observer.isGone(id)) continue
-            ownership.meet(id, machine.zone)
+            if (reconciler.isGone(id)) continue
+            shardClaims.register(id, machine.zone)
             firstKnown.putIfAbsent(id, context.now)
             if (machine.stage == RentalStage.FAILED) failed += id
-            if (id !in replica.machines && fleet.view(id)?.latest == null) {
+            if (id !in cache.machines && agents.view(id)?.latest == null) {
                 val since = context.now - (machine.ageS * SECOND).toLong()
                 booting.putIfAbsent(id, Booting(id, Offer(machine.type, machine.zone, machine.spot), since))
             }
@@ -204,11 +204,11 @@
         val settled = context.settings.listLagUs * LAGS + LAG_MARGIN
         for ((id, since) in firstKnown.entries.toList()) {
             if (id in present || startedUs - since < settled) continue
-            val heard = fleet.view(id)?.heardUs
+            val heard = agents.view(id)?.heardUs
             if (heard != null && startedUs - heard < context.settings.listLagUs * LAGS) continue
-            observer.gone(id, "not-listed")
+            reconciler.gone(id, "not-listed")
             booting.remove(id)
-            if (id !in replica.machines && replica.tasksOn(id).isEmpty()) firstKnown.remove(id)
+            if (id !in cache.machines && cache.tasksOn(id).isEmpty()) firstKnown.remove(id)
         }
     }
 
@@ -253,7 +253,7 @@
                     for (name in result.value.machines) {
                         val id = MachineId(name)
                         firstKnown.putIfAbsent(id, context.now)
-                        if (fleet.view(id)?.latest == null) booting[id] = Booting(id, offer, sent)
+                        if (agents.view(id)?.latest == null) booting[id] = Booting(id, offer, sent)
                     }
                     if (result.value.machines.size < request.count) refusedUntil[offer] = context.now + NO_CAPACITY
                     LOG.info("rented request={} got={}", request.request, result.value.machines.size)
@@ -278,13 +278,13 @@
     private fun release() {
         nextReleaseUs = context.now + LOOK_EVERY
         val names = ArrayList<MachineId>()
-        for (known in replica.machines.values) {
+        for (known in cache.machines.values) {
             val retiring = known.record.retiring
             val empty = retiring == Retiring.DRAIN && isSettledEmpty(known.id)
-            if ((retiring == Retiring.NOW || empty) && !observer.isGone(known.id)) names += known.id
+            if ((retiring == Retiring.NOW || empty) && !reconciler.isGone(known.id)) names += known.id
         }
         for (waiting in booting.values) if (isOverdue(waiting)) names += waiting.id
-        names += failed.filter { !observer.isGone(it) }
+        names += failed.filter { !reconciler.isGone(it) }
         val open = names.distinct().filter { it !in releasing }.take(CloudProtocol.MAX_RELEASE)
         if (open.isEmpty() || !requests.take(context.now, 1.0)) return
         nextReleaseUs = context.now + RELEASE_EVERY
@@ -293,7 +293,7 @@
             releasing -= open.toSet()
             if (protocol.readRelease(outcome) is CloudProtocol.Result.Ok) {
                 open.forEach {
-                    observer.gone(it, "released")
+                    reconciler.gone(it, "released")
                     booting.remove(it)
                     failed.remove(it)
                     emptySince.remove(it)
@@ -304,7 +304,7 @@
 
     /** Empty for a moment: its controller may have placed something there before it saw the mark. */
     private fun isSettledEmpty(id: MachineId): Boolean {
-        if (replica.tasksOn(id).isNotEmpty()) {
+        if (cache.tasksOn(id).isNotEmpty()) {
             emptySince.remove(id)
             return false
         }
@@ -319,7 +319,7 @@
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Capacity::class.java)
+        private val LOG = LoggerFactory.getLogger(CloudInventory::class.java)
         private const val RENT_PART = 0.45
         private const val LIST_PART = 0.45
         private const val RADIX = 36
--- a/src/main/kotlin/mintpick/engine/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/CommandPlanner.kt
@@ -21,15 +21,15 @@
     /** Attempts to be stopped although their jobs go on: preempted, or on a machine that is to be emptied. */
     val stopping = HashMap<AttemptId, String>()
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     /** Only tasks of cancelled jobs are stopped until the records are at least as new as our [claim]. */
     fun commandsFor(
         view: MachineView,
         claim: Claim,
     ): List<Command> {
-        if (replica.revision < claim.version) return stopsOfCancelled(view)
-        val wanted = replica.tasksOn(view.id)
+        if (cache.revision < claim.version) return stopsOfCancelled(view)
+        val wanted = cache.tasksOn(view.id)
         val reaps = ArrayList<Command>()
         val stops = ArrayList<Command>()
         val starts = ArrayList<Command>()
@@ -66,18 +66,18 @@
             .filter { (attempt, task) -> task.state != TaskState.EXITED && isCancelled(attempt.task.job) }
             .map { (attempt, _) -> command(Verb.STOP, attempt, 0) }
 
-    private fun isCancelled(job: JobId): Boolean = replica.job(job)?.stage == StoredStage.CANCELLED || health.cancelledElsewhere(job)
+    private fun isCancelled(job: JobId): Boolean = cache.job(job)?.stage == StoredStage.CANCELLED || health.cancelledElsewhere(job)
 
     private fun mayStart(
         view: MachineView,
         claim: Claim,
         attempt: AttemptId,
     ): Boolean {
-        val job = replica.job(attempt.task.job) ?: return false
+        val job = cache.job(attempt.task.job) ?: return false
         return job.stage == StoredStage.OPEN && !health.cancelledElsewhere(job.id) && attempt !in stopping && !isEmptying(view, claim)
     }
 
-    private fun retiring(view: MachineView): Retiring = replica.machines[view.id]?.record?.retiring ?: Retiring.NO
+    private fun retiring(view: MachineView): Retiring = cache.machines[view.id]?.record?.retiring ?: Retiring.NO
 
     /** Whether what has not started yet should not start here any more. */
     fun isEmptying(
@@ -98,7 +98,7 @@
         task: TaskReport,
         isWanted: Boolean,
     ): Command? {
-        val job = replica.job(attempt.task.job)
+        val job = cache.job(attempt.task.job)
         val goesOn = isWanted && job?.stage == StoredStage.OPEN && !health.cancelledElsewhere(job.id)
         if (job == null || !goesOn) return command(Verb.STOP, attempt, 0)
         val leaves = attempt in stopping || leavesWithMachine(view, claim, job.spec.isService, job.spec.estimateS)
@@ -130,7 +130,7 @@
     /** Forgets stops that are over. */
     fun clean() {
         if (stopping.isEmpty()) return
-        stopping.keys.removeIf { attempt -> replica.job(attempt.task.job)?.placement(attempt.task.index)?.attempt != attempt.attempt }
+        stopping.keys.removeIf { attempt -> cache.job(attempt.task.job)?.placement(attempt.task.index)?.attempt != attempt.attempt }
     }
 
     private fun command(
--- a/src/main/kotlin/mintpick/engine/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/ControllerHealth.kt
@@ -11,7 +11,7 @@
 /** Whether this controller should act, judged from its own contact with the state service and its peers' hints. */
 class ControllerHealth(
     private val context: EngineContext,
-    private val link: StateLink,
+    private val stateStore: StateStoreClient,
 ) {
     private class Heard(
         val atUs: Micros,
@@ -61,13 +61,13 @@
         if (!healthy()) return absentSince.clear()
         for (peer in context.settings.peers) {
             val node = NodeId(peer.node)
-            if (node in context.replica.nodes) absentSince.remove(node) else absentSince.putIfAbsent(node, context.now)
+            if (node in context.cache.nodes) absentSince.remove(node) else absentSince.putIfAbsent(node, context.now)
         }
     }
 
     /** What our own records are new enough to show needs no word of others any more. */
     private fun forgetCancelledElsewhere() {
-        val known = link.recordsKnownUs ?: return
+        val known = stateStore.recordsKnownUs ?: return
         if (cancelledElsewhere.isNotEmpty()) cancelledElsewhere.values.removeIf { it < known }
     }
 
@@ -96,7 +96,7 @@
      */
     private fun cancellationsKnownUs(): Micros {
         val told = context.settings.peers.minOfOrNull { cancellationsKnownFrom[NodeId(it.node)] ?: 0 } ?: context.now
-        return maxOf(link.recordsKnownUs ?: 0, told)
+        return maxOf(stateStore.recordsKnownUs ?: 0, told)
     }
 
     /** Whether a task may still be started: not when its cancellation may have been confirmed for longer than a moment. */
@@ -138,7 +138,7 @@
         return hinted
     }
 
-    private val stateAgeUs: Micros get() = link.lastServedUs?.let { context.now - it } ?: Long.MAX_VALUE
+    private val stateAgeUs: Micros get() = stateStore.lastServedUs?.let { context.now - it } ?: Long.MAX_VALUE
 
     /** Whether [node] could not place what waits there: it says so, or says nothing. */
     fun lacksRoom(node: NodeId): Boolean = !hears(node) || peers[node]?.hint?.lacksRoom == true
@@ -191,11 +191,13 @@
         }
 
     /** The state service serves us and our lease holds. */
-    fun healthy(): Boolean = link.serving && stateAgeUs < HEALTHY_AGE
+    fun healthy(): Boolean = stateStore.serving && stateAgeUs < HEALTHY_AGE
 
     /** Some peer is served while we are not. */
     fun peersServed(): Boolean =
-        peers.values.any { context.now - it.atUs < FRESH && it.hint.stateAgeUs in 0..SERVED_AGE && it.atUs > (link.lastServedUs ?: 0) }
+        peers.values.any {
+            context.now - it.atUs < FRESH && it.hint.stateAgeUs in 0..SERVED_AGE && it.atUs > (stateStore.lastServedUs ?: 0)
+        }
 
     /**
      * Cut off from the state service we keep our workers, unless a peer could serve them, or a cancellation that we do
@@ -211,20 +213,20 @@
     private val blindUs: Micros = context.settings.cancelUs - context.settings.leaseUs - CANCEL_MARGIN
 
     /**
-     * Whether we may answer workers of our zone for [owner]: in a cut of the zone all that [owner] commands there would
-     * lose its leases within reach of us. Only while nobody is served whom we hear, we do not hear [owner], and a
-     * cancellation that we can't know of is not overdue. [standInUntil] is what [owner] takes into account for it.
+     * Whether we may answer workers of our zone for [eventLoop]: in a cut of the zone all that [eventLoop] commands there would
+     * lose its leases within reach of us. Only while nobody is served whom we hear, we do not hear [eventLoop], and a
+     * cancellation that we can't know of is not overdue. [answeredOnBehalfUntil] is what [eventLoop] takes into account for it.
      */
-    fun mayStandInFor(owner: NodeId): Boolean {
-        if (stateAgeUs < HAND_OVER_AGE || hears(owner) || peersServed()) return false
-        return context.now - (link.recordsKnownUs ?: return false) < blindUs
+    fun mayAnswerFor(eventLoop: NodeId): Boolean {
+        if (stateAgeUs < HAND_OVER_AGE || hears(eventLoop) || peersServed()) return false
+        return context.now - (stateStore.recordsKnownUs ?: return false) < blindUs
     }
 
     /**
      * Until when another controller in [zone] may have renewed leases of ours there; null: nobody can tell. One that has
      * answered our hints without a break has not; one that has lost its lease could for a while only.
      */
-    fun standInUntil(zone: String?): Micros? {
+    fun answeredOnBehalfUntil(zone: String?): Micros? {
         var until: Micros = 0
         for (peer in context.settings.peers) {
             if (peer.zone != zone) continue
@@ -245,7 +247,7 @@
     fun standInSpan(zone: String?): Micros = if (context.settings.peers.any { it.zone == zone }) blindUs else 0
 
     /** What `/up` says: not in a shared outage, where no other controller would do better. */
-    fun up(): Boolean = link.serving && (stateAgeUs < DOWN_AGE || !peersServed())
+    fun up(): Boolean = stateStore.serving && (stateAgeUs < DOWN_AGE || !peersServed())
 
     companion object {
         private const val FRESH: Micros = 3 * SECOND
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -32,32 +32,46 @@
 ) {
     private val context = EngineContext(settings, random)
     private val formats = FormatGate(context)
-    private val link = StateLink(context, formats)
-    private val ownership = Ownership(context, link)
-    private val health = ControllerHealth(context, link)
+    private val stateStore = StateStoreClient(context, formats)
+    private val shardClaims = ShardClaims(context, stateStore)
+    private val health = ControllerHealth(context, stateStore)
     private val commandPlanner = CommandPlanner(context, health)
-    private val fleet = Fleet(context, link, ownership, health, commandPlanner)
-    private val observer = Observer(context, ownership, fleet, commandPlanner)
-    private val accounting = Accounting(context, link, ownership, operators, formats)
-    private val preemptor = Preemptor(context, ownership, fleet, commandPlanner, accounting, operators)
-    private val scheduling = Scheduling(context, ownership, fleet, commandPlanner, observer, accounting, health, preemptor, operators)
-    private val capacity = Capacity(context, link, ownership, fleet, observer, health, formats)
-    private val machineRegistry = MachineRegistry(context, link, ownership, fleet, observer, formats)
-    private val supply =
-        Supply(context, link, ownership, fleet, observer, capacity, machineRegistry, commandPlanner, scheduling, health, operators)
-    private val userRequests = UserRequests(context, link, formats)
-    private val changes = Changes(context, link, ownership, userRequests, commandPlanner, formats)
-    private val machineMonitor = MachineMonitor(context, link, ownership, fleet, health, machineRegistry, commandPlanner, scheduling)
-    private val sweeper = RecordSweeper(context, link, ownership, userRequests)
+    private val agents = AgentRegistry(context, stateStore, shardClaims, health, commandPlanner)
+    private val reconciler = Reconciler(context, shardClaims, agents, commandPlanner)
+    private val usageAccounting = UsageAccounting(context, stateStore, shardClaims, operators, formats)
+    private val preemptionPlanner = PreemptionPlanner(context, shardClaims, agents, commandPlanner, usageAccounting, operators)
+    private val scheduler =
+        Scheduler(context, shardClaims, agents, commandPlanner, reconciler, usageAccounting, health, preemptionPlanner, operators)
+    private val cloudInventory = CloudInventory(context, stateStore, shardClaims, agents, reconciler, health, formats)
+    private val machineRegistry = MachineRegistry(context, stateStore, shardClaims, agents, reconciler, formats)
+    private val capacityPlanner =
+        CapacityPlanner(
+            context,
+            stateStore,
+            shardClaims,
+            agents,
+            reconciler,
+            cloudInventory,
+            machineRegistry,
+            commandPlanner,
+            scheduler,
+            health,
+            operators,
+        )
+    private val userRequests = UserRequests(context, stateStore, formats)
+    private val jobUpdates = JobUpdates(context, stateStore, shardClaims, userRequests, commandPlanner, formats)
+    private val machineMonitor =
+        MachineMonitor(context, stateStore, shardClaims, agents, health, machineRegistry, commandPlanner, scheduler)
+    private val sweeper = RecordSweeper(context, stateStore, shardClaims, userRequests)
     private var nextHintUs: Micros = 0
     private var nextPlanUs: Micros = 0
     private var hints = 0
     private var lastStepUs: Micros = 0
-    private var toldLack = false
+    private var announcedNoCapacity = false
 
     init {
-        ownership.reaches = { !fleet.isCutOff }
-        ownership.calm = { health.heardAllSince(context.now - CALM) }
+        shardClaims.reachesAgents = { !agents.isCutOff }
+        shardClaims.allPeersInTouch = { health.heardAllSince(context.now - CALM) }
     }
 
     /** What `/up` says as of the last step. */
@@ -69,24 +83,24 @@
         events: List<Event>,
     ): List<Effect> {
         context.begin(now, wall)
-        noticeStandstill()
+        detectProcessPause()
         events.forEach(::handleAlone)
-        link.tick()
+        stateStore.tick()
         formats.tick()
         health.tick()
-        ownership.tick()
-        fleet.watchControl()
-        accounting.tick()
-        capacity.tick()
-        supply.tick()
+        shardClaims.tick()
+        agents.watchControl()
+        usageAccounting.tick()
+        cloudInventory.tick()
+        capacityPlanner.tick()
         machineMonitor.tick()
         machineRegistry.tick()
         sweeper.tick()
-        val touched = context.replica.touched.toSet()
-        context.replica.touched.clear()
-        fleet.tick(touched)
-        preemptor.tick(touched)
-        observer.look(touched + fleet.takeHeard())
+        val touched = context.cache.touched.toSet()
+        context.cache.touched.clear()
+        agents.tick(touched)
+        preemptionPlanner.tick(touched)
+        reconciler.look(touched + agents.takeHeard())
         plan()
         userRequests.tick()
         hint()
@@ -97,14 +111,14 @@
      * After a standstill leases may be over and calls have failed for our own fault: what the clock no longer proves is given
      * up before the first event is looked at.
      */
-    private fun noticeStandstill() {
+    private fun detectProcessPause() {
         val pause = context.now - lastStepUs
-        val stoodStill = lastStepUs != 0L && pause > STANDSTILL
+        val onProcessPause = lastStepUs != 0L && pause > PROCESS_PAUSE
         lastStepUs = context.now
-        if (!stoodStill) return
+        if (!onProcessPause) return
         LOG.warn("stood still for_ms={}", pause / MILLI)
-        link.stoodStill()
-        fleet.stoodStill()
+        stateStore.onProcessPause()
+        agents.onProcessPause()
     }
 
     /** A defect met by one event must not cost the others, outcomes of calls that somebody waits for among them. */
@@ -122,7 +136,7 @@
             is Event.Malformed -> userRequests.malformed(event.id, event.reason, event.reply)
             is Event.Poll -> userRequests.poll(event.id, event.reply)
             is Event.Cancel -> userRequests.cancel(event.id, event.reply)
-            is Event.Report -> fleet.onReport(event.report, event.reply)
+            is Event.Report -> agents.onReport(event.report, event.reply)
             is Event.Hint -> {
                 health.onHint(event.hint)
                 context.send(
@@ -136,36 +150,36 @@
     }
 
     private fun status(): NodeStatus {
-        val replica = context.replica
+        val cache = context.cache
         return NodeStatus(
             node = settings.node,
-            phase = link.phase.name.lowercase(),
-            leader = replica.leader?.node?.text,
+            phase = stateStore.phase.name.lowercase(),
+            leader = cache.leader?.node?.text,
             shards =
-                replica.claims
-                    .filterValues(ownership::isMine)
+                cache.claims
+                    .filterValues(shardClaims::isMine)
                     .keys
                     .sorted(),
             borrowed =
-                replica.borrows
-                    .filterValues(ownership::isMine)
+                cache.borrows
+                    .filterValues(shardClaims::isMine)
                     .keys
                     .map { it.text },
-            machines = replica.machines.size,
-            jobs = replica.jobs.size,
-            waitingTasks = replica.jobs.sumOf { it.waiting },
-            placedTasks = replica.jobs.sumOf { it.placed },
+            machines = cache.machines.size,
+            jobs = cache.jobs.size,
+            waitingTasks = cache.jobs.sumOf { it.waiting },
+            placedTasks = cache.jobs.sumOf { it.placed },
             pendingSubmissions = userRequests.submissions.size,
             pendingCancellations = userRequests.cancellations.size,
-            revision = replica.revision,
-            use = settings.teams.associate { it.name to accounting.use(it.name) },
-            stateLatencyMs = link.latencyMs(),
-            waitingForPredecessors = replica.dependencies.waitingCount,
-            withdrawnJobs = replica.closableJobs().count { !it.isReleased },
+            revision = cache.revision,
+            use = settings.teams.associate { it.name to usageAccounting.use(it.name) },
+            stateLatencyMs = stateStore.latencyMs(),
+            waitingForPredecessors = cache.dependencies.waitingCount,
+            withdrawnJobs = cache.closableJobs().count { !it.isReleased },
             recordFormat = formats.current.name.lowercase(),
             formatLevels = formats.levels(),
             limits = limitsInForce(),
-            tooLargeTransactions = link.tooLarge,
+            tooLargeTransactions = stateStore.tooLarge,
         )
     }
 
@@ -174,50 +188,50 @@
             settings.limits.writeRps,
             settings.limits.rps,
             formats.valueBytes.toInt(),
-            changes.limits.changes,
-            changes.limits.guards,
+            jobUpdates.limits.changes,
+            jobUpdates.limits.guards,
         )
 
     /** Gathers what came within a moment into few writes. */
     private fun plan() {
-        if (context.now < nextPlanUs || !changes.hasRoom) return
+        if (context.now < nextPlanUs || !jobUpdates.hasRoom) return
         nextPlanUs = context.now + PLAN_EVERY
-        val drafts = LinkedHashMap<JobId, JobChange>()
-        val draftOf: (JobId) -> JobChange? = { id ->
-            drafts[id] ?: context.replica
+        val drafts = LinkedHashMap<JobId, JobUpdate>()
+        val draftOf: (JobId) -> JobUpdate? = { id ->
+            drafts[id] ?: context.cache
                 .job(id)
-                ?.takeIf { changes.isFree(id) }
-                ?.let { job -> JobChange(job, changes.limits).also(observer::apply) }
+                ?.takeIf { jobUpdates.isFree(id) }
+                ?.let { job -> JobUpdate(job, jobUpdates.limits).also(reconciler::apply) }
                 ?.also { drafts[id] = it }
         }
         for ((id, pending) in userRequests.cancellations) {
-            if (pending.taken || context.replica.job(id)?.stage != StoredStage.OPEN) continue
+            if (pending.taken || context.cache.job(id)?.stage != StoredStage.OPEN) continue
             draftOf(id)?.cancel()
         }
-        observer.due().forEach { draftOf(it) }
+        reconciler.due().forEach { draftOf(it) }
         closeCancelled(draftOf)
-        if (link.reachable) scheduling.schedule(changes, drafts, draftOf)
-        if (changes.commit(drafts.values, scheduling.lacksWrites)) scheduling.foundNoWrite()
+        if (stateStore.reachable) scheduler.schedule(jobUpdates, drafts, draftOf)
+        if (jobUpdates.commit(drafts.values, scheduler.lacksWrites)) scheduler.foundNoWrite()
     }
 
     /**
      * Cancelled jobs without a task left get final records, so that they are not kept open for ever: only housekeeping, which
      * waits until nothing else needs the writes, since that they are cancelled is known anyway.
      */
-    private fun closeCancelled(draftOf: (JobId) -> JobChange?) {
-        val writes = changes.budget() - SPARE_WRITES
+    private fun closeCancelled(draftOf: (JobId) -> JobUpdate?) {
+        val writes = jobUpdates.budget() - SPARE_WRITES
         if (writes <= 0) return
-        val mine = context.replica.closableJobs().filter { ownership.home(it.id) == context.me }
+        val mine = context.cache.closableJobs().filter { shardClaims.preferredController(it.id) == context.me }
         mine.take(minOf(writes, MOST_CLOSED)).toList().forEach { draftOf(it.id)?.close() }
     }
 
     /** Tells the other controllers how we stand. */
     private fun hint() {
         // That we lack room is told at once: a job that another could place waits for it.
-        val news = scheduling.lacksRoom && !toldLack && context.now >= nextHintUs - HINT_EVERY + HINT_LEAST
+        val news = scheduler.lacksRoom && !announcedNoCapacity && context.now >= nextHintUs - HINT_EVERY + HINT_LEAST
         if (context.now < nextHintUs && !news) return
         nextHintUs = context.now + HINT_EVERY
-        toldLack = scheduling.lacksRoom
+        announcedNoCapacity = scheduler.lacksRoom
         val body = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), ownHint(withMachines = hints++ % 2 == 0))
         for (peer in settings.peers) {
             val call = Call(Target.Peer(peer.address.toString()), "POST", "/hint", body, HINT_TIMEOUT, PROTOBUF)
@@ -244,25 +258,25 @@
             }
         return PeerHint(
             settings.node,
-            link.lastServedUs?.takeIf { link.serving }?.let { context.now - it } ?: -1,
+            stateStore.lastServedUs?.takeIf { stateStore.serving }?.let { context.now - it } ?: -1,
             machines,
-            context.replica.revision,
+            context.cache.revision,
             withMachines,
-            scheduling.lacksRoom,
+            scheduler.lacksRoom,
             images.keys.toList(),
-            context.replica.cancelledJobs(),
-            cancelledIsComplete = link.hasLoaded,
-            faultyJobs = observer.failures.faultyJobs().map { it.text },
+            context.cache.cancelledJobs(),
+            cancelledIsComplete = stateStore.hasLoaded,
+            faultyJobs = reconciler.failures.faultyJobs().map { it.text },
         )
     }
 
     private fun heardMachines(): List<MachineView> =
-        fleet.views().filter { view ->
+        agents.views().filter { view ->
             view.latest != null &&
                 context.now - view.reportedUs < settings.reportUs * 2 &&
-                !observer.failures.isFaulty(view.id) &&
-                !fleet.isUnreachable(view.id) &&
-                !commandPlanner.isEmptying(view, ownership.control(view.id))
+                !reconciler.failures.isFaulty(view.id) &&
+                !agents.isUnreachable(view.id) &&
+                !commandPlanner.isEmptying(view, shardClaims.control(view.id))
         }
 
     companion object {
@@ -274,7 +288,7 @@
         private const val PLAN_EVERY: Micros = 40 * MILLI
 
         /** Steps are at most a twentieth of a second apart, and a few tenths when the processor is short. */
-        private const val STANDSTILL: Micros = 2_000 * MILLI
+        private const val PROCESS_PAUSE: Micros = 2_000 * MILLI
         private const val CALM: Micros = 3_000 * MILLI
         private const val HINT_EVERY: Micros = 1_000 * MILLI
         private const val HINT_LEAST: Micros = 250 * MILLI
--- a/src/main/kotlin/mintpick/engine/EngineContext.kt
+++ b/src/main/kotlin/mintpick/engine/EngineContext.kt
@@ -14,7 +14,7 @@
     val random: RandomGenerator,
 ) {
     val me = NodeId(settings.node)
-    var replica = Replica()
+    var cache = LocalCache()
         private set
 
     /** Steady time of the current step. */
@@ -63,13 +63,13 @@
     }
 
     /** Starts the copy of the records anew: changes were missed that the state service no longer has. */
-    fun forgetReplica() {
-        replica = Replica()
+    fun resetCache() {
+        cache = LocalCache()
     }
 }
 
 /** A token bucket over the engine's clock. */
-class Bucket(
+class TokenBucket(
     private val perSecond: Double,
     private val burst: Double,
 ) {
--- a/src/main/kotlin/mintpick/engine/Owner.kt
+++ b/src/main/kotlin/mintpick/engine/EventLoop.kt
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit
 
 /** The thread that owns the engine: it drains the command queue in batches and carries out what comes of them. */
-class Owner(
+class EventLoop(
     private val engine: Engine,
     private val start: (id: Long, call: Call) -> Unit,
     private val steadyUs: () -> Micros,
@@ -73,7 +73,7 @@
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Owner::class.java)
+        private val LOG = LoggerFactory.getLogger(EventLoop::class.java)
         private const val QUEUE = 4096
         private const val BATCH = 256
         private const val STUCK: Micros = 2_000 * MILLI
--- a/src/main/kotlin/mintpick/engine/FormatGate.kt
+++ b/src/main/kotlin/mintpick/engine/FormatGate.kt
@@ -21,7 +21,7 @@
     /** The newest format that every controller reads. */
     val current: RecordFormat
         get() {
-            val formats = context.replica.formats
+            val formats = context.cache.formats
             return RecordFormat.readableAt(everybody.minOf { formats[it] ?: 0 })
         }
 
@@ -36,11 +36,11 @@
         }
 
     /** Levels by controller, for the status page. */
-    fun levels(): Map<String, Int> = everybody.associate { it.text to (context.replica.formats[it] ?: RecordFormat.VERBOSE.level) }
+    fun levels(): Map<String, Int> = everybody.associate { it.text to (context.cache.formats[it] ?: RecordFormat.VERBOSE.level) }
 
     /** What this controller has to write to announce what it reads; null if it has. */
     fun announcement(): Write? {
-        val mine = context.replica.formats[context.me] ?: 0
+        val mine = context.cache.formats[context.me] ?: 0
         if (mine >= RecordFormat.NEWEST.level) return null
         val record = FormatRecord(RecordFormat.NEWEST.level)
         return Write(Keys.format(context.me.text), WireJson.encodeToJsonElement(FormatRecord.serializer(), record))
--- a/src/main/kotlin/mintpick/engine/JobChange.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdate.kt
@@ -10,7 +10,7 @@
 import mintpick.wire.StoredStage
 
 /** A job as it is to become, with what must hold for that. */
-class JobChange(
+class JobUpdate(
     val before: Job,
     private val limits: TransactionLimits,
 ) {
--- a/src/main/kotlin/mintpick/engine/Changes.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdates.kt
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory
 
 /** Turns drafts into guarded transactions and carries them to the state service, a few at a time. */
-class Changes(
+class JobUpdates(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
     private val userRequests: UserRequests,
     private val commandPlanner: CommandPlanner,
     private val formats: FormatGate,
@@ -38,13 +38,17 @@
         context.settings.teams
             .filter { it.cpusMax > 0 || it.gpusMax > 0 }
             .mapTo(HashSet()) { it.name }
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     /** What one transaction holds. */
     val limits = TransactionLimits(context.settings.limits.transactionOps)
     private val specs = SpecStorage(context, formats, limits)
 
-    val hasRoom: Boolean get() = link.serving && link.reachable && link.transactionsOpen < MAX_OPEN && link.writesAllowed() > 0
+    val hasRoom: Boolean get() =
+        stateStore.serving &&
+            stateStore.reachable &&
+            stateStore.transactionsOpen < MAX_OPEN &&
+            stateStore.writesAllowed() > 0
 
     /** Jobs whose change the state service found too large, until when they are left alone: the same again would fare no better. */
     private val setAside = HashMap<JobId, Micros>()
@@ -55,7 +59,7 @@
     fun isFree(job: JobId): Boolean {
         if (job in open || context.now < (setAside[job] ?: 0)) return false
         val until = outdated[job] ?: return true
-        if (replica.revision < until) return false
+        if (cache.revision < until) return false
         outdated.remove(job)
         return true
     }
@@ -75,7 +79,7 @@
     fun isTeamFree(team: String): Boolean = team !in openTeams
 
     /** How many drafts are worth making now. */
-    fun budget(): Int = if (hasRoom) link.writesAllowed() - kept else 0
+    fun budget(): Int = if (hasRoom) stateStore.writesAllowed() - kept else 0
 
     /** Writes that drafts leave for the next submissions, which users wait for. */
     private val kept = (context.settings.limits.writeRps / (context.settings.peers.size + 1) * KEPT_PART).toInt()
@@ -91,12 +95,12 @@
      * writes ([placementsWait]) they take turns with the other drafts. Returns whether a placement found no write.
      */
     fun commit(
-        drafts: Collection<JobChange>,
+        drafts: Collection<JobUpdate>,
         placementsWait: Boolean,
     ): Boolean {
         val stored = ArrayList<TransactionPart>()
         for ((id, pending) in userRequests.submissions) {
-            if (pending.taken || !isFree(id) || replica.knows(id)) continue
+            if (pending.taken || !isFree(id) || cache.knows(id)) continue
             val spec = pending.spec ?: continue
             val inline = Job(id, spec, StoredStage.OPEN, context.wall, 0, emptyMap())
             var job = inline
@@ -146,7 +150,7 @@
     }
 
     /** What becomes of [draft]: its change, or the pieces of its specification if that has to make way first. */
-    private fun partOf(draft: JobChange): TransactionPart {
+    private fun partOf(draft: JobUpdate): TransactionPart {
         val part = partOf(draft, draft.job)
         if (part.writes.all(::fitsValue)) return part
         val unstored = specs.unstored(draft.before) ?: return partOf(draft, specs.apart(draft.job))
@@ -157,7 +161,7 @@
     private fun fitsValue(write: Write): Boolean = write.valueBytes <= formats.valueBytes
 
     private fun partOf(
-        draft: JobChange,
+        draft: JobUpdate,
         job: Job,
     ): TransactionPart {
         val id = job.id
@@ -203,9 +207,9 @@
      * Placements of one chunk do not conflict with changes of another, so a cancellation may be planned before one of them is
      * known. Once it is stored, no more can be placed, and what was placed before it is known with it.
      */
-    private fun seesAllPlacements(draft: JobChange): Boolean = draft.before.chunkCount == 1 || draft.before.stage == StoredStage.CANCELLED
+    private fun seesAllPlacements(draft: JobUpdate): Boolean = draft.before.chunkCount == 1 || draft.before.stage == StoredStage.CANCELLED
 
-    private fun newGroup() = TransactionGroup(limits, takesSeveral = context.now >= aloneUntilUs)
+    private fun newGroup() = TransactionBatch(limits, takesSeveral = context.now >= aloneUntilUs)
 
     /** Returns the parts for which there were writes. */
     private fun send(
@@ -220,8 +224,8 @@
                 transact(group.parts)
                 group = newGroup()
             }
-            val open = link.transactionsOpen >= MAX_OPEN
-            dropRest = dropRest || open || group.writesWith(part) > maxOf(1, link.writesAllowed() - keep)
+            val open = stateStore.transactionsOpen >= MAX_OPEN
+            dropRest = dropRest || open || group.writesWith(part) > maxOf(1, stateStore.writesAllowed() - keep)
             if (dropRest || !group.hasRoomFor(part) || !part.writes.all(::fitsValue)) {
                 if (!dropRest) LOG.error("change of job={} fits no transaction: {} B", part.job.text, part.bytes)
                 part.dropped()
@@ -249,7 +253,7 @@
         reserve(group, 1.0)
         val requeued = group.flatMap { it.requeued }
         commandPlanner.requeueSent(requeued)
-        link.transact(guards.toList(), writes.values.toList()) { result ->
+        stateStore.transact(guards.toList(), writes.values.toList()) { result ->
             open -= jobs.toSet()
             openTeams -= teams
             reserve(group, -1.0)
@@ -267,7 +271,7 @@
                 else -> {
                     // Refused, or without an answer and perhaps applied later: the guards keep that harmless.
                     group.forEach { it.dropped() }
-                    if (result == TransactionResult.Unknown) link.caughtUp { }
+                    if (result == TransactionResult.Unknown) stateStore.caughtUp { }
                 }
             }
         }
@@ -282,11 +286,11 @@
         val teams = HashSet<String>()
         for (part in group) {
             val team = part.team ?: continue
-            val spec = replica.job(part.job)?.spec ?: continue
+            val spec = cache.job(part.job)?.spec ?: continue
             if (!teams.add(team)) continue
             val key = Keys.team(spec.team)
-            guards += Guard(key, replica.version(key))
-            val used = replica.usedBy(spec.team) + spec.demand
+            guards += Guard(key, cache.version(key))
+            val used = cache.usedBy(spec.team) + spec.demand
             writes[key] =
                 Write(key, WireJson.encodeToJsonElement(ReservationRecord.serializer(), ReservationRecord(used.cpus, used.gpus)))
         }
@@ -313,11 +317,11 @@
             part.dropped()
             if (part.guards.any { it.key in failed }) outdated[part.job] = result.revision
         }
-        link.caughtUp { }
+        stateStore.caughtUp { }
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Changes::class.java)
+        private val LOG = LoggerFactory.getLogger(JobUpdates::class.java)
         private const val MAX_OPEN = 4
         private const val KEPT_PART = 0.25
         private const val MOST_RECORDS_AHEAD = 2
--- a/src/main/kotlin/mintpick/engine/JobUrgency.kt
+++ b/src/main/kotlin/mintpick/engine/JobUrgency.kt
@@ -13,13 +13,13 @@
 class JobUrgency(
     private val context: EngineContext,
 ) {
-    private var replica = context.replica
+    private var cache = context.cache
     private var paths = paths()
 
     /** When each released job was first seen to be so: its waits count from then on. */
     private val readySince = HashMap<JobId, Micros>()
 
-    private fun paths() = CriticalPaths(context.replica.dependencies) { id -> context.replica.job(id)?.let(::demand) }
+    private fun paths() = CriticalPaths(context.cache.dependencies) { id -> context.cache.job(id)?.let(::demand) }
 
     private fun demand(job: Job) =
         JobDemand(
@@ -30,12 +30,12 @@
 
     fun of(job: Job): Urgency {
         // The records may have been read anew.
-        if (replica !== context.replica) {
-            replica = context.replica
+        if (cache !== context.cache) {
+            cache = context.cache
             paths = paths()
         }
         val isNeeded =
-            context.replica.dependencies
+            context.cache.dependencies
                 .successors(job.id)
                 .isNotEmpty()
         return paths.takeIf { isNeeded }?.urgency(job.id) ?: demand(job).let { Urgency(it.priority, it.dueUs?.minus(it.runUs)) }
@@ -47,7 +47,7 @@
      */
     fun readySinceUs(job: Job): Micros {
         if (job.spec.predecessorIds.isEmpty()) return job.submittedUs
-        if (readySince.size > MOST_KNOWN) readySince.keys.removeIf { context.replica.job(it) == null }
+        if (readySince.size > MOST_KNOWN) readySince.keys.removeIf { context.cache.job(it) == null }
         return readySince.getOrPut(job.id) { context.wall }
     }
 
--- a/src/main/kotlin/mintpick/engine/Replica.kt
+++ b/src/main/kotlin/mintpick/engine/LocalCache.kt
@@ -58,7 +58,7 @@
  * This controller's copy of the service's records. Changes arrive from the watch and from this
  * controller's own transactions, in any order: the higher version of a key wins.
  */
-class Replica {
+class LocalCache {
     var revision: Long = 0
         private set
     private val versions = Object2LongOpenHashMap<String>()
@@ -91,7 +91,7 @@
     /** Main records that were read before all pieces of their specifications. */
     private val incomplete = HashMap<JobId, Pair<JobRecord, Long>>()
     private val typePieces = TreeMap<Int, List<MachineType>>()
-    private val tables = HashMap<Keys.Subject.Fleet, Set<MachineId>>()
+    private val tables = HashMap<Keys.Subject.MachineList, Set<MachineId>>()
     private val waitingIds = LinkedHashSet<JobId>()
 
     /** What follows for a job from the records of the jobs that it waits for. */
@@ -202,7 +202,7 @@
         if (subject is Keys.Subject.Shard || subject is Keys.Subject.Borrow) claimEpoch++
         if (subject is Keys.Subject.Shard ||
             subject is Keys.Subject.Borrow ||
-            subject is Keys.Subject.Fleet ||
+            subject is Keys.Subject.MachineList ||
             subject is Keys.Subject.Machine
         ) {
             controlEpoch++
@@ -219,7 +219,7 @@
                 }
                 touched += MachineId(subject.machine)
             }
-            is Keys.Subject.Fleet -> applyFleet(subject, value)
+            is Keys.Subject.MachineList -> applyMachineList(subject, value)
             Keys.Subject.Epoch -> Unit
             is Keys.Subject.Format ->
                 set(formats, NodeId(subject.node), value) { WireJson.decodeFromJsonElement(FormatRecord.serializer(), it).level }
@@ -248,11 +248,11 @@
         set(borrows, machine, value) { claim(it, version) }
     }
 
-    private fun applyFleet(
-        table: Keys.Subject.Fleet,
+    private fun applyMachineList(
+        table: Keys.Subject.MachineList,
         value: JsonElement?,
     ) {
-        val after = value?.let(RecordCodec::decodeFleet).orEmpty()
+        val after = value?.let(RecordCodec::decodeMachineList).orEmpty()
         for (id in tables[table].orEmpty()) {
             if (id in after || tables.any { (other, ids) -> other != table && id in ids }) continue
             machines.remove(id)
@@ -441,7 +441,7 @@
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Replica::class.java)
+        private val LOG = LoggerFactory.getLogger(LocalCache::class.java)
 
         /** Ids differ by leading zeros too, so a key is the number and its length. */
         private const val FINAL_KEY_LENGTHS = 20
--- a/src/main/kotlin/mintpick/engine/FleetPieces.kt
+++ b/src/main/kotlin/mintpick/engine/MachineListLayout.kt
@@ -14,7 +14,7 @@
  * piece that has outgrown a value, as after the limits have been lowered, is split in the transaction that changes it;
  * otherwise machines do not move between pieces, so that what is read piece by piece is never a machine short.
  */
-class FleetPieces(
+class MachineListLayout(
     before: Map<Int, Map<MachineId, MachineRecord>>,
     private val maxBytes: Double,
     private val format: RecordFormat,
@@ -46,7 +46,7 @@
 
     private fun nextNumber(): Int = generateSequence(0) { it + 1 }.first { it !in pieces }
 
-    private fun sizeOf(machines: Map<MachineId, MachineRecord>): Int = RecordCodec.fleetJson(machines, format).toString().length
+    private fun sizeOf(machines: Map<MachineId, MachineRecord>): Int = RecordCodec.machineListJson(machines, format).toString().length
 
     fun add(
         id: MachineId,
@@ -98,7 +98,7 @@
             if (found.isNotEmpty() && (found.size + parts.size > maxOps || bytes > maxTotal)) break
             pieces += parts
             for ((part, kept) in parts) {
-                found[part] = Changed(kept.machines, kept.removed, RecordCodec.fleetJson(kept.machines, format))
+                found[part] = Changed(kept.machines, kept.removed, RecordCodec.machineListJson(kept.machines, format))
             }
         }
         return found
--- a/src/main/kotlin/mintpick/engine/MachineMonitor.kt
+++ b/src/main/kotlin/mintpick/engine/MachineMonitor.kt
@@ -12,18 +12,18 @@
 /** Looks after this controller's machines: gives up silent ones, empties noticed ones, returns borrowed ones. */
 class MachineMonitor(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
     private val health: ControllerHealth,
     private val machineRegistry: MachineRegistry,
     private val commandPlanner: CommandPlanner,
-    private val scheduling: Scheduling,
+    private val scheduler: Scheduler,
 ) {
     private var nextUs: Micros = 0
     private val borrowedSince = HashMap<mintpick.core.MachineId, Micros>()
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun tick() {
         if (!health.healthy() || context.now < nextUs) return
@@ -37,8 +37,8 @@
      * A machine that has fallen silent is returned, which proves it gone.
      */
     private fun giveUpSilent() {
-        if (context.now - link.servingSinceUs < SETTLE) return
-        val mine = fleet.mine.mapNotNull(fleet::view).filter { it.token > 0 && ownership.controls(it.id) && isMissed(it) }
+        if (context.now - stateStore.servingSinceUs < SETTLE) return
+        val mine = agents.mine.mapNotNull(agents::view).filter { it.token > 0 && shardClaims.controls(it.id) && isMissed(it) }
         val serving = mine.filterTo(HashSet(), ::servesUsers)
         // Asking hundreds of machines every second would cost more than what it finds out.
         val heartbeat = maxOf(HEARTBEAT, serving.size * SECOND / HEARTBEATS)
@@ -46,21 +46,21 @@
         // Beyond a cut a few are enough to see when it ends.
         val (open, beyond) = due.partition { health.heardFromZone(zoneOf(it), context.now - ZONE_SILENCE) }
         val drawn = if (beyond.isEmpty()) emptyList() else List(BEYOND) { beyond[context.random.nextInt(beyond.size)] }
-        (open + drawn).forEach { fleet.probe(it.id) }
+        (open + drawn).forEach { agents.probe(it.id) }
         val silent = mine.filter { isSilent(it, it in serving) || isOneWay(it) }
         if (silent.isEmpty()) return
-        val suspects = mine.count { fleet.isUnreachable(it.id) }
+        val suspects = mine.count { agents.isUnreachable(it.id) }
         val many = suspects > maxOf(2, mine.size / DOUBT_PART) || (suspects == mine.size && mine.size > 1)
-        val failingIn = mine.filter { fleet.isUnreachable(it.id) }.groupingBy(::zoneOf).eachCount()
+        val failingIn = mine.filter { agents.isUnreachable(it.id) }.groupingBy(::zoneOf).eachCount()
         for (view in silent) {
             val oneWay = isOneWay(view)
-            val since = if (oneWay) fleet.unreachableSince(view.id) ?: continue else fleet.silentSince(view.id)
+            val since = if (oneWay) agents.unreachableSince(view.id) ?: continue else agents.silentSince(view.id)
             // Heard after the first call that failed: the way to the machine's zone was open when it did not answer.
-            val failing = fleet.unreachableSince(view.id) ?: continue
+            val failing = agents.unreachableSince(view.id) ?: continue
             val peersHeard = health.heardFromZone(zoneOf(view), failing) && isOpen(view)
             // Others there fail with it and no call has got through since: then it may be we who do not reach them. Cut off
             // from its workers alone, a leader once returned 72 live machines within seconds, those of the services first.
-            val alike = (failingIn[zoneOf(view)] ?: 0) > 1 && fleet.reachedIn(zoneOf(view)) < failing
+            val alike = (failingIn[zoneOf(view)] ?: 0) > 1 && agents.reachedIn(zoneOf(view)) < failing
             if (context.now - since >
                 doubt(view, many || alike, peersHeard)
             ) {
@@ -78,8 +78,8 @@
 
     /** One that is on its way back to the cloud with nothing left on it is gone before its record is. */
     private fun isMissed(view: MachineView): Boolean {
-        val record = replica.machines[view.id]?.record ?: return false
-        return record.retiring == Retiring.NO || replica.tasksOn(view.id).isNotEmpty()
+        val record = cache.machines[view.id]?.record ?: return false
+        return record.retiring == Retiring.NO || cache.tasksOn(view.id).isNotEmpty()
     }
 
     /**
@@ -87,8 +87,8 @@
      * controller that does reach it would have adopted it by now, and if nobody does, nobody should wait for it.
      */
     private fun isOneWay(view: MachineView): Boolean {
-        val since = fleet.unreachableSince(view.id) ?: return false
-        return fleet.failedCalls(view.id) > PROBES && context.now - since > patience + TURN_AWAY
+        val since = agents.unreachableSince(view.id) ?: return false
+        return agents.failedCalls(view.id) > PROBES && context.now - since > patience + TURN_AWAY
     }
 
     /**
@@ -105,7 +105,7 @@
         when {
             !peersHeard -> context.settings.leaseUs * LEASES_DOUBTED + SILENCE + health.standInSpan(zoneOf(view))
             // Who reaches them adopts them by then.
-            fleet.isCutOff -> context.settings.leaseUs + SILENCE
+            agents.isCutOff -> context.settings.leaseUs + SILENCE
             many -> minOf(patience + TURN_AWAY, context.settings.leaseUs)
             else -> 0
         }
@@ -118,43 +118,43 @@
         view: MachineView,
         serving: Boolean,
     ): Boolean {
-        val failures = fleet.failedCalls(view.id)
+        val failures = agents.failedCalls(view.id)
         if (failures == 0 || health.heardElsewhere(view.id, within = silenceOf(view))) return false
         return if (serving) failures >= PROBES && silenceOf(view) > HEARTBEAT * 2 else silenceOf(view) > patience + HEARTBEAT
     }
 
-    private fun zoneOf(view: MachineView): String? = replica.machines[view.id]?.record?.zone
+    private fun zoneOf(view: MachineView): String? = cache.machines[view.id]?.record?.zone
 
-    private fun servesUsers(view: MachineView): Boolean = replica.servicesOn(view.id).cpus > Resources.EPSILON
+    private fun servesUsers(view: MachineView): Boolean = cache.servicesOn(view.id).cpus > Resources.EPSILON
 
-    private fun silenceOf(view: MachineView): Micros = context.now - fleet.silentSince(view.id)
+    private fun silenceOf(view: MachineView): Micros = context.now - agents.silentSince(view.id)
 
     /** Work on a machine with a notice moves at once: its worker need not be asked twice. */
     private fun emptyNoticed() {
-        for (view in fleet.views()) {
+        for (view in agents.views()) {
             if (view.noticeEndsUs == null ||
-                !ownership.controls(view.id) ||
-                !commandPlanner.isNoticed(view, ownership.control(view.id))
+                !shardClaims.controls(view.id) ||
+                !commandPlanner.isNoticed(view, shardClaims.control(view.id))
             ) {
                 continue
             }
-            if (replica.machines[view.id]?.record?.retiring == Retiring.NO) machineRegistry.retire(view.id, Retiring.DRAIN, "notice")
-            if (hasRunning(view)) fleet.push(view.id)
+            if (cache.machines[view.id]?.record?.retiring == Retiring.NO) machineRegistry.retire(view.id, Retiring.DRAIN, "notice")
+            if (hasRunning(view)) agents.push(view.id)
         }
     }
 
     private fun hasRunning(view: MachineView): Boolean =
         view.reported.any { (attempt: AttemptId, task) ->
-            task.state != TaskState.EXITED && task.state != TaskState.SAVING && replica.tasksOn(view.id)[attempt.task] == attempt.attempt
+            task.state != TaskState.EXITED && task.state != TaskState.SAVING && cache.tasksOn(view.id)[attempt.task] == attempt.attempt
         }
 
     private fun giveBack() {
-        borrowedSince.keys.retainAll(replica.borrows.keys)
-        for ((machine, claim) in replica.borrows.toMap()) {
-            if (!ownership.isMine(claim)) continue
+        borrowedSince.keys.retainAll(cache.borrows.keys)
+        for ((machine, claim) in cache.borrows.toMap()) {
+            if (!shardClaims.isMine(claim)) continue
             val since = borrowedSince.getOrPut(machine) { context.now }
-            val wanted = scheduling.starved.isNotEmpty() || replica.tasksOn(machine).isNotEmpty()
-            if (!wanted && context.now - since > BORROW_LEAST && link.writesAllowed() > 2) ownership.giveBack(machine)
+            val wanted = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
+            if (!wanted && context.now - since > BORROW_LEAST && stateStore.writesAllowed() > 2) shardClaims.giveBack(machine)
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/MachineRegistry.kt
@@ -18,10 +18,10 @@
  */
 class MachineRegistry(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
-    private val observer: Observer,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val reconciler: Reconciler,
     private val formats: FormatGate,
 ) {
     private class Mark(
@@ -36,9 +36,9 @@
 
     /** What is written down about machines may use this much of the limits; the rest is for jobs. */
     private val share = context.settings.limits.writeRps / (context.settings.peers.size + 1) * WRITE_PART
-    private val writes = Bucket(share, maxOf(2.0, share * 2))
+    private val writes = TokenBucket(share, maxOf(2.0, share * 2))
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     /** Marks a machine as one to be emptied, or to be given up at once. */
     fun retire(
@@ -46,11 +46,11 @@
         how: Retiring,
         reason: String,
     ) {
-        val known = replica.machines[id] ?: return
+        val known = cache.machines[id] ?: return
         if (known.record.retiring == how || known.record.retiring == Retiring.NOW || marks[id]?.how == Retiring.NOW) return
         marks[id] = Mark(how, reason)
         // What is lost is not to wait for others.
-        if (how == Retiring.NOW) nextUs[ownership.part(id.text)] = 0
+        if (how == Retiring.NOW) nextUs[shardClaims.part(id.text)] = 0
         nextTickUs = minOf(nextTickUs, context.now + GATHER)
     }
 
@@ -58,32 +58,38 @@
     fun isMarked(id: MachineId): Boolean = id in marks
 
     fun tick() {
-        if (!link.serving || !link.reachable || context.now < nextTickUs) return
+        if (!stateStore.serving || !stateStore.reachable || context.now < nextTickUs) return
         nextTickUs = context.now + TICK
         val added = HashMap<Int, MutableMap<MachineId, MachineRecord>>()
-        for (view in fleet.views()) {
+        for (view in agents.views()) {
             val report = view.latest ?: continue
-            val known = replica.machines[view.id]
-            if ((known != null && !known.legacy) || observer.isGone(view.id) || !fleet.isConfirmed(view) || !fleet.isFresh(view)) continue
-            added.getOrPut(ownership.part(view.id.text)) { HashMap() }[view.id] =
+            val known = cache.machines[view.id]
+            if ((known != null && !known.legacy) ||
+                reconciler.isGone(view.id) ||
+                !agents.isConfirmed(view) ||
+                !agents.isFresh(view)
+            ) {
+                continue
+            }
+            added.getOrPut(shardClaims.part(view.id.text)) { HashMap() }[view.id] =
                 known?.record ?: MachineRecord(report.type, report.zone, report.spot, report.address)
         }
         val dropped =
-            replica.machines.values
-                .filter { observer.isGone(it.id) && replica.tasksOn(it.id).isEmpty() }
-                .groupBy { ownership.part(it.id.text) }
+            cache.machines.values
+                .filter { reconciler.isGone(it.id) && cache.tasksOn(it.id).isEmpty() }
+                .groupBy { shardClaims.part(it.id.text) }
         // Only its controller judges a machine to be lost: another's silence says nothing.
         marks.entries.removeIf { (id, mark) ->
-            id !in replica.machines ||
-                observer.isGone(id) ||
-                (mark.how == Retiring.NOW && !ownership.controls(id))
+            id !in cache.machines ||
+                reconciler.isGone(id) ||
+                (mark.how == Retiring.NOW && !shardClaims.controls(id))
         }
-        val marked = marks.entries.groupBy { ownership.part(it.key.text) }
+        val marked = marks.entries.groupBy { shardClaims.part(it.key.text) }
         // The longest waiting first: otherwise the same few would take all writes while a fleet boots.
         for (part in (added.keys + marked.keys + dropped.keys).sortedBy { nextUs[it] ?: 0 }) {
             val hurry = marked[part].orEmpty().any { it.value.how == Retiring.NOW }
             // Its own part of the writes is enough: what places tasks would leave none, and an unlisted machine takes no task.
-            if (part in busy || (!hurry && context.now < (nextUs[part] ?: 0)) || !link.mayWrite) continue
+            if (part in busy || (!hurry && context.now < (nextUs[part] ?: 0)) || !stateStore.mayWrite) continue
             // Gone machines harm nobody by being listed: they alone are reason enough only now and then.
             if (part !in added && part !in marked && context.now < (nextUs[part] ?: 0) + DROP_WAIT) continue
             if (hurry) {
@@ -101,9 +107,9 @@
         marked: Map<MachineId, Mark>,
         dropped: List<KnownMachine>,
     ) {
-        val pieces = FleetPieces(replica.tablesOf(part), formats.valueBytes, formats.current)
+        val pieces = MachineListLayout(cache.tablesOf(part), formats.valueBytes, formats.current)
         // What an earlier version stored in records of their own moves over with its mark.
-        val legacyMarked = marked.keys.mapNotNull { replica.machines[it] }.filter { it.legacy }
+        val legacyMarked = marked.keys.mapNotNull { cache.machines[it] }.filter { it.legacy }
         (legacyMarked.associate { it.id to it.record } + added).forEach { (id, record) -> pieces.add(id, record) }
         dropped.forEach { pieces.remove(it.id) }
         val written = marked.filter { (id, mark) -> pieces.mark(id, mark.how) }
@@ -117,13 +123,13 @@
         val gone = dropped.filter { known -> changed.values.any { known.id in it.removed } }.map { it.id }
         val old = (added.keys + marked.keys).filter { it in machines } + gone
         val left = maxOf(0, ops - changed.size)
-        val borrows = gone.filter { it in replica.borrows }.take(minOf(MAX_OLD, left)).map { Write(Keys.borrow(it.text), null) }
-        val legacyKeys = old.filter { replica.machines[it]?.legacy == true }.map { Keys.machine(it.text) }
+        val borrows = gone.filter { it in cache.borrows }.take(minOf(MAX_OLD, left)).map { Write(Keys.borrow(it.text), null) }
+        val legacyKeys = old.filter { cache.machines[it]?.legacy == true }.map { Keys.machine(it.text) }
         val legacy = legacyKeys.take(minOf(MAX_OLD, left - borrows.size)).map { Write(it, null) }
         // Borrowings first: of a machine that is struck out after them no end of a borrowing has to be kept.
-        val writes = borrows + changed.map { (piece, table) -> Write(Keys.fleet(part, piece), table.value) } + legacy
+        val writes = borrows + changed.map { (piece, table) -> Write(Keys.machineList(part, piece), table.value) } + legacy
         this.writes.force(context.now, (writes.size - 1).toDouble())
-        link.transact(guardsOf(part, pieces), writes) { result ->
+        stateStore.transact(guardsOf(part, pieces), writes) { result ->
             busy -= part
             if (result is TransactionResult.Committed) {
                 for ((id, mark) in written) {
@@ -133,18 +139,18 @@
                 }
             } else {
                 nextUs[part] = context.now + RETRY
-                link.caughtUp { }
+                stateStore.caughtUp { }
             }
         }
     }
 
-    private fun typeOf(machine: MachineId): String? = replica.machines[machine]?.record?.type
+    private fun typeOf(machine: MachineId): String? = cache.machines[machine]?.record?.type
 
     /** All pieces of a part, also those that do not exist yet: a machine must never be listed in two of them. */
     private fun guardsOf(
         part: Int,
-        pieces: FleetPieces,
-    ): List<Guard> = pieces.numbers.map { Keys.fleet(part, it) }.map { Guard(it, replica.version(it)) }
+        pieces: MachineListLayout,
+    ): List<Guard> = pieces.numbers.map { Keys.machineList(part, it) }.map { Guard(it, cache.version(it)) }
 
     companion object {
         private val LOG = LoggerFactory.getLogger(MachineRegistry::class.java)
--- a/src/main/kotlin/mintpick/engine/Preemptor.kt
+++ b/src/main/kotlin/mintpick/engine/PreemptionPlanner.kt
@@ -10,10 +10,10 @@
 import mintpick.core.Micros
 import mintpick.core.Occupant
 import mintpick.core.Placer
+import mintpick.core.PreemptionPolicy
 import mintpick.core.Resources
 import mintpick.core.Room
 import mintpick.core.SECOND
-import mintpick.core.Yielding
 import mintpick.core.demand
 import mintpick.core.isProduction
 import mintpick.core.zoneCap
@@ -21,12 +21,12 @@
 import org.slf4j.LoggerFactory
 
 /** Makes room for requests that are owed it by stopping what yields to them. */
-class Preemptor(
+class PreemptionPlanner(
     private val context: EngineContext,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
     private val commandPlanner: CommandPlanner,
-    private val accounting: Accounting,
+    private val usageAccounting: UsageAccounting,
     private val operators: Operators,
 ) {
     private class Choice(
@@ -41,14 +41,14 @@
     /** When this controller first saw an assignment: the start of its protected window at the latest. */
     private val seenSince = HashMap<AttemptId, Micros>()
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun tick(touched: Collection<MachineId>) {
         for (machine in touched) {
-            for ((task, attempt) in replica.tasksOn(machine)) seenSince.putIfAbsent(AttemptId(task, attempt), context.now)
+            for ((task, attempt) in cache.tasksOn(machine)) seenSince.putIfAbsent(AttemptId(task, attempt), context.now)
         }
         if (seenSince.size > cleanAbove) {
-            seenSince.keys.removeIf { replica.job(it.task.job)?.placement(it.task.index)?.attempt != it.attempt }
+            seenSince.keys.removeIf { cache.job(it.task.job)?.placement(it.task.index)?.attempt != it.attempt }
             cleanAbove = maxOf(CLEAN_ABOVE, seenSince.size * 2)
         }
         if (quietUntil.size > CLEAN_ABOVE) quietUntil.values.removeIf { it < context.now }
@@ -62,15 +62,15 @@
         among: Placer.Rooms,
         perZone: Map<String, Int>,
     ) {
-        if (!job.spec.isProduction && !accounting.isFunded(job.id)) return
+        if (!job.spec.isProduction && !usageAccounting.isFunded(job.id)) return
         if (context.now < (quietUntil[job.id] ?: 0)) return
         quietUntil[job.id] = context.now + PAUSE
         val claimant =
             Claimant(
                 job.spec.team,
                 job.spec.priority,
-                accounting.isFunded(job.id),
-                accounting.isOverShare(job.spec.team),
+                usageAccounting.isFunded(job.id),
+                usageAccounting.isOverShare(job.spec.team),
             )
         val counts = HashMap(perZone)
         val rooms = among.some(context.random, SAMPLE)
@@ -95,14 +95,14 @@
         val victims = ArrayList<AttemptId>()
         var lost = 0.0
         val candidates =
-            replica
+            cache
                 .tasksOn(room.machine)
                 .map { AttemptId(it.key, it.value) }
                 .filter { it !in commandPlanner.stopping && yields(it, claimant) }
                 .sortedByDescending { seenSince[it] ?: context.now }
         for (victim in candidates) {
             if (demand.fits(free)) break
-            val spec = replica.job(victim.task.job)?.spec ?: continue
+            val spec = cache.job(victim.task.job)?.spec ?: continue
             free += spec.demand
             victims += victim
             lost += (context.now - (seenSince[victim] ?: context.now)).toDouble() * spec.cpus
@@ -114,19 +114,19 @@
         attempt: AttemptId,
         claimant: Claimant,
     ): Boolean {
-        val job = replica.job(attempt.task.job) ?: return false
+        val job = cache.job(attempt.task.job) ?: return false
         if (job.stage != StoredStage.OPEN) return false
         val spec = job.spec
-        val type = replica.machines[job.placement(attempt.task.index)?.machine]?.record?.type
+        val type = cache.machines[job.placement(attempt.task.index)?.machine]?.record?.type
         val fetch =
-            replica.types[type]
+            cache.types[type]
                 ?.fetchGbPerS
                 ?.takeIf { it > 0 }
                 ?.let { (spec.imageGb / it * SECOND).toLong() } ?: 0
         val window = Contract.minimumRuntime(spec, fetch, operators.minimumRuntimeCapUs)
         val expired = context.now - (seenSince[attempt] ?: context.now) > window
-        val over = accounting.isOverShare(spec.team)
-        return Yielding.yields(Occupant(spec.team, spec.priority, accounting.isFunded(job.id), expired, over), claimant)
+        val over = usageAccounting.isOverShare(spec.team)
+        return PreemptionPolicy.yields(Occupant(spec.team, spec.priority, usageAccounting.isFunded(job.id), expired, over), claimant)
     }
 
     private fun stop(
@@ -134,19 +134,19 @@
         choice: Choice,
     ) {
         machineQuietUntil[choice.machine] = context.now + MACHINE_PAUSE
-        if (!ownership.controls(choice.machine)) {
+        if (!shardClaims.controls(choice.machine)) {
             // The leader may stop tasks only on what it commands; once it is borrowed the job asks again.
-            ownership.borrow(listOf(choice.machine), fleet::push)
+            shardClaims.borrow(listOf(choice.machine), agents::push)
             quietUntil.remove(job.id)
             return
         }
         LOG.info("preempt for={} machine={} victims={} reason=owed", job.id.text, choice.machine.text, choice.victims.map { it.task })
         choice.victims.forEach { commandPlanner.stopping[it] = "preempted" }
-        fleet.push(choice.machine)
+        agents.push(choice.machine)
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Preemptor::class.java)
+        private val LOG = LoggerFactory.getLogger(PreemptionPlanner::class.java)
         private const val PAUSE: Micros = SECOND
         private const val MACHINE_PAUSE: Micros = SECOND / 2
         private const val MAX_AT_ONCE = 4
--- a/src/main/kotlin/mintpick/engine/Observer.kt
+++ b/src/main/kotlin/mintpick/engine/Reconciler.kt
@@ -24,10 +24,10 @@
  * Turns what machines prove into changes of jobs. Looks only at machines of which something is new, and keeps
  * what it finds until it is written: a write for each finished task would be more than the state service takes.
  */
-class Observer(
+class Reconciler(
     private val context: EngineContext,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
     private val commandPlanner: CommandPlanner,
 ) {
     /** What one machine proves and the records do not show yet. */
@@ -66,7 +66,7 @@
     private var nextSweepUs: Micros = 0
     private var epochSeen = -1L
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun isGone(machine: MachineId): Boolean = machine in gone
 
@@ -75,8 +75,8 @@
         reason: String,
     ) {
         if (!gone.add(machine)) return
-        LOG.info("machine gone machine={} reason={} tasks={}", machine.text, reason, replica.tasksOn(machine).size)
-        fleet.bury(machine)
+        LOG.info("machine gone machine={} reason={} tasks={}", machine.text, reason, cache.tasksOn(machine).size)
+        agents.markTerminated(machine)
         dirty += machine
     }
 
@@ -91,13 +91,13 @@
     /** Looks at machines of which something is new; at all of them now and then, for what only time proves. */
     fun look(changed: Collection<MachineId>) {
         dirty += changed
-        if (replica.claimEpoch != epochSeen) {
-            epochSeen = replica.claimEpoch
-            dirty += replica.machinesWithTasks()
+        if (cache.claimEpoch != epochSeen) {
+            epochSeen = cache.claimEpoch
+            dirty += cache.machinesWithTasks()
         } else if (context.now >= nextSweepUs) {
             // Time proves something of what is ours alone: that its lease has lapsed.
             nextSweepUs = context.now + SWEEP
-            dirty += fleet.mine
+            dirty += agents.mine
             forgetFailures()
         }
         dirty.forEach(::examine)
@@ -105,14 +105,14 @@
     }
 
     private fun forgetFailures() {
-        failures.retain({ replica.job(it)?.stage == StoredStage.OPEN }, { it in replica.machines })
-        runningSince.keys.removeIf { replica.job(it.task.job)?.placement(it.task.index)?.attempt != it.attempt }
+        failures.retain({ cache.job(it)?.stage == StoredStage.OPEN }, { it in cache.machines })
+        runningSince.keys.removeIf { cache.job(it.task.job)?.placement(it.task.index)?.attempt != it.attempt }
     }
 
     private fun examine(machine: MachineId) {
         val before = facts.remove(machine)
         before?.let { old -> (old.done.keys + old.over.keys).forEach { unlink(it.job, machine) } }
-        val tasks = replica.tasksOn(machine)
+        val tasks = cache.tasksOn(machine)
         val found = if (tasks.isEmpty()) null else prove(machine, tasks, before)
         if (found == null || (found.done.isEmpty() && found.over.isEmpty())) return
         facts[machine] = found
@@ -139,10 +139,10 @@
         before: Facts?,
     ): Facts? {
         if (machine in gone) return Facts(emptyMap(), tasks.toMap(), isGone = true, Resources.ZERO)
-        val view = fleet.view(machine) ?: return null
-        val claim = ownership.control(machine) ?: return null
-        val mine = ownership.isMine(claim) && replica.revision >= claim.version
-        if (mine && fleet.hasLapsed(view)) {
+        val view = agents.view(machine) ?: return null
+        val claim = shardClaims.control(machine) ?: return null
+        val mine = shardClaims.isMine(claim) && cache.revision >= claim.version
+        if (mine && agents.hasLapsed(view)) {
             if (before?.over?.keys != tasks.keys) LOG.debug("lease lapsed machine={}", machine.text)
             return Facts(emptyMap(), tasks.toMap(), isGone = false, Resources.ZERO)
         }
@@ -151,7 +151,7 @@
         var freed = Resources.ZERO
         for ((task, attempt) in tasks) {
             val id = AttemptId(task, attempt)
-            val job = replica.job(task.job) ?: continue
+            val job = cache.job(task.job) ?: continue
             when (val proof = view.proof(id, if (mine) claim.version else NO_TOKEN)) {
                 Proof.None -> {
                     if (job.spec.isService && failures.hasFailed(task.job)) watchReplica(view, id)
@@ -179,7 +179,7 @@
     }
 
     /** Notes in [draft] all that is proven of its job. */
-    fun apply(draft: JobChange) {
+    fun apply(draft: JobUpdate) {
         val id = draft.before.id
         for (machine in machinesOf[id].orEmpty()) {
             val known = facts[machine] ?: continue
@@ -193,7 +193,7 @@
             for ((task, attempt) in known.over) {
                 if (task.job != id) continue
                 // Its next controller might have answered its worker, or have started an attempt again that it found absent.
-                if (!known.isGone && !draft.guard(ownership.guards(machine))) continue
+                if (!known.isGone && !draft.guard(shardClaims.guards(machine))) continue
                 draft.requeue(task.index, Placement(machine, attempt))
             }
         }
@@ -207,7 +207,7 @@
         oldest.keys.retainAll(machinesOf.keys)
         verdicts.keys.retainAll(oldest.keys)
         return oldest.keys.filter { id ->
-            val job = replica.job(id) ?: return@filter false
+            val job = cache.job(id) ?: return@filter false
             context.now - (oldest[id] ?: context.now) >= LAZY || isUrgent(id, job)
         }
     }
@@ -218,8 +218,8 @@
         job: Job,
     ): Boolean {
         val known = verdicts[id]
-        if (known != null && known.job === job && known.claimEpoch == replica.claimEpoch) return known.urgent
-        return judge(id, job).also { verdicts[id] = Verdict(job, replica.claimEpoch, it) }
+        if (known != null && known.job === job && known.claimEpoch == cache.claimEpoch) return known.urgent
+        return judge(id, job).also { verdicts[id] = Verdict(job, cache.claimEpoch, it) }
     }
 
     private fun judge(
@@ -236,7 +236,7 @@
             if (over > 0 && job.stage == StoredStage.OPEN && !failures.isFaulty(id)) return true
         }
         // Nothing of it is left that could be proven here soon: it has ended, or what is left waits or is elsewhere.
-        return known >= job.placements().count { (_, at) -> ownership.controls(at.machine) }
+        return known >= job.placements().count { (_, at) -> shardClaims.controls(at.machine) }
     }
 
     /** A service never completes: a replica that goes on running shows that its job is not at fault. */
@@ -285,7 +285,7 @@
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Observer::class.java)
+        private val LOG = LoggerFactory.getLogger(Reconciler::class.java)
         private const val NO_TOKEN = -1L
 
         /** A replica that has been running for so long does not fail at its start. */
--- a/src/main/kotlin/mintpick/engine/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/RecordSweeper.kt
@@ -12,8 +12,8 @@
  */
 class RecordSweeper(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
     private val userRequests: UserRequests,
 ) {
     /** Since when each specification has been without an open job. */
@@ -21,33 +21,38 @@
     private var nextUs: Micros = 0
     private var busy = false
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     fun tick() {
-        if (!link.serving || !link.reachable || context.now < nextUs) return
+        if (!stateStore.serving || !stateStore.reachable || context.now < nextUs) return
         nextUs = context.now + EVERY
-        val unused = replica.specsApart.filter { replica.job(it) == null && it !in userRequests.submissions }.toSet()
+        val unused = cache.specsApart.filter { cache.job(it) == null && it !in userRequests.submissions }.toSet()
         unusedSince.keys.retainAll(unused)
         unused.forEach { unusedSince.putIfAbsent(it, context.now) }
-        val due = unusedSince.filter { (id, since) -> context.now - since > patience(id) && ownership.home(id) == context.me }.keys
+        val due =
+            unusedSince
+                .filter { (id, since) ->
+                    context.now - since > patience(id) &&
+                        shardClaims.preferredController(id) == context.me
+                }.keys
         due.firstOrNull()?.let(::remove)
     }
 
     /** A user who was not told of the acceptance may submit the same job again for a minute. */
-    private fun patience(job: JobId): Micros = if (replica.final(job) == null) UNFINISHED else EVERY
+    private fun patience(job: JobId): Micros = if (cache.final(job) == null) UNFINISHED else EVERY
 
     private fun remove(job: JobId) {
-        if (busy || link.writesAllowed() < SPARE_WRITES) return
+        if (busy || stateStore.writesAllowed() < SPARE_WRITES) return
         val keys =
-            replica
+            cache
                 .specPiecesOf(job)
                 .sortedDescending()
                 .take(context.settings.limits.transactionOps)
                 .map { Keys.spec(job.text, it) }
         busy = true
         // The job may have been stored by another controller at this moment: then nothing is removed.
-        val guards = (keys + Keys.job(job.text)).map { Guard(it, replica.version(it)) }
-        link.transact(guards, keys.map { Write(it, null) }) { busy = false }
+        val guards = (keys + Keys.job(job.text)).map { Guard(it, cache.version(it)) }
+        stateStore.transact(guards, keys.map { Write(it, null) }) { busy = false }
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/Scheduling.kt
+++ b/src/main/kotlin/mintpick/engine/Scheduler.kt
@@ -11,7 +11,7 @@
 import mintpick.core.Resources
 import mintpick.core.Room
 import mintpick.core.SECOND
-import mintpick.core.TeamRoom
+import mintpick.core.TeamQuota
 import mintpick.core.capacity
 import mintpick.core.demand
 import mintpick.core.isGang
@@ -22,36 +22,36 @@
 import mintpick.wire.StoredStage
 
 /** Orders waiting jobs by fair share and assigns their tasks to machines. */
-class Scheduling(
+class Scheduler(
     private val context: EngineContext,
-    private val ownership: Ownership,
-    private val fleet: Fleet,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
     private val commandPlanner: CommandPlanner,
-    private val observer: Observer,
-    private val accounting: Accounting,
+    private val reconciler: Reconciler,
+    private val usageAccounting: UsageAccounting,
     private val health: ControllerHealth,
-    private val preemptor: Preemptor,
+    private val preemptionPlanner: PreemptionPlanner,
     private val operators: Operators,
 ) {
     /** A waiting job as this controller has seen it: since when its record has not moved. */
-    private class Still(
+    private class UnchangedSince(
         val version: Long,
         val sinceUs: Micros,
     )
 
     /** What one pass works with. */
     private class Pass(
-        val changes: Changes,
-        val draftOf: (JobId) -> JobChange?,
+        val jobUpdates: JobUpdates,
+        val draftOf: (JobId) -> JobUpdate?,
         val mine: Placer.Rooms,
-        val teams: TeamRoom,
+        val teams: TeamQuota,
         others: () -> List<Room>,
     ) {
         /** Everybody's machines, which only the leader needs, and only for what no part can hold. */
         val wide: Placer.Rooms by lazy { mine.with(others()) }
         val toBorrow = LinkedHashSet<MachineId>()
         var writes = 0
-        var hurried = false
+        var overloaded = false
         var parts = false
         var partsPlaced = false
     }
@@ -60,15 +60,15 @@
     private val placer = Placer(context.random, operators.placementSample)
     private val limits =
         context.settings.teams.associate { team ->
-            team.name to Resources(orUnlimited(team.cpusMax), orUnlimited(team.gpusMax), TeamRoom.UNLIMITED)
+            team.name to Resources(orUnlimited(team.cpusMax), orUnlimited(team.gpusMax), TeamQuota.UNLIMITED)
         }
-    private val still = HashMap<JobId, Still>()
+    private val unchangedSince = HashMap<JobId, UnchangedSince>()
     private var nextPartsUs: Micros = 0
     private var nextPassUs: Micros = 0
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     /** Jobs that found no room in the last pass, for the capacity planner and for preemption. */
-    var starved: List<Job> = emptyList()
+    var unschedulable: List<Job> = emptyList()
         private set
 
     /** Whether some of them found no room here, rather than no time to be written. */
@@ -86,10 +86,10 @@
 
     /** Waiting jobs, first the one to be served first. */
     fun order(jobs: Collection<Job>): List<Job> {
-        val cpus = replica.cpus
-        val places = accounting.places()
+        val cpus = cache.cpus
+        val places = usageAccounting.places()
         return jobs
-            .map { Place(it, !accounting.isFunded(it.id), priorityOf(it), places[it.spec.team] ?: Int.MAX_VALUE, turn(it, cpus)) }
+            .map { Place(it, !usageAccounting.isFunded(it.id), priorityOf(it), places[it.spec.team] ?: Int.MAX_VALUE, turn(it, cpus)) }
             .sortedWith(PLACES)
             .map { it.job }
     }
@@ -122,36 +122,36 @@
     }
 
     fun schedule(
-        changes: Changes,
-        drafts: Map<JobId, JobChange>,
-        draftOf: (JobId) -> JobChange?,
+        jobUpdates: JobUpdates,
+        drafts: Map<JobId, JobUpdate>,
+        draftOf: (JobId) -> JobUpdate?,
     ) {
         // What was just observed moves in the same write; otherwise planning more often than this finds nothing new.
         val urgent = drafts.values.any { it.job.waiting > it.before.waiting }
         if (context.now < nextPassUs && !urgent) return
-        nextPassUs = context.now + passEvery(replica.waitingJobs().size)
+        nextPassUs = context.now + passEvery(cache.waitingJobs().size)
         lacksWrites = false
         val waiting = LinkedHashMap<JobId, Job>()
-        replica.waitingJobs().forEach { waiting[it.id] = it }
+        cache.waitingJobs().forEach { waiting[it.id] = it }
         drafts.values.forEach { if (it.job.waiting > 0) waiting[it.job.id] = it.job else waiting.remove(it.job.id) }
-        still.keys.retainAll(waiting.keys)
+        unchangedSince.keys.retainAll(waiting.keys)
         if (waiting.isEmpty()) {
-            starved = emptyList()
+            unschedulable = emptyList()
             lacksRoom = false
             return
         }
-        val pass = Pass(changes, draftOf, Placer.Rooms.of(ownRooms(changes)), teamRoom()) { othersRooms(changes) }
-        pass.hurried = waiting.size > HURRY
-        val budget = changes.budget()
+        val pass = Pass(jobUpdates, draftOf, Placer.Rooms.of(ownRooms(jobUpdates)), teamQuota()) { othersRooms(jobUpdates) }
+        pass.overloaded = waiting.size > OVERLOAD_QUEUE
+        val budget = jobUpdates.budget()
         pass.parts = context.now >= nextPartsUs || budget >= plenty
         val left = ArrayList<Job>()
         var short = false
         for (job in order(waiting.values)) {
-            if (!observer.mayPlace(job.id)) continue
+            if (!reconciler.mayPlace(job.id)) continue
             val startable = startable(job)
             if (startable == 0) continue
-            if (still[job.id]?.version != job.version) still[job.id] = Still(job.version, context.now)
-            val free = changes.isFree(job.id)
+            if (unchangedSince[job.id]?.version != job.version) unchangedSince[job.id] = UnchangedSince(job.version, context.now)
+            val free = jobUpdates.isFree(job.id)
             val rooms = roomsFor(job, pass)
             // With more to write than the limits allow, batch jobs keep a part of it: one write starts many tasks.
             val mayWrite = pass.writes < if (job.spec.isProduction) maxOf(1, (budget * PRODUCTION_WRITES).toInt()) else budget
@@ -167,27 +167,27 @@
                 if (placed == 0 && rooms != null && free && mayWrite && teamMayPlace(job, pass)) {
                     short = true
                     // Another controller may have room, for which nobody has to be stopped.
-                    val waitsLong = context.now - (still[job.id]?.sinceUs ?: context.now) >= SEEK_AFTER
-                    if (waitsLong && !isFaulty(job)) preemptor.seek(job, rooms, zonesOf(job))
+                    val waitsLong = context.now - (unchangedSince[job.id]?.sinceUs ?: context.now) >= SEEK_AFTER
+                    if (waitsLong && !isFaulty(job)) preemptionPlanner.seek(job, rooms, zonesOf(job))
                 }
             }
         }
         if (pass.partsPlaced) nextPartsUs = context.now + PART_EVERY
         lacksRoom = short
-        starved = left
-        if (pass.toBorrow.isNotEmpty()) ownership.borrow(pass.toBorrow, fleet::push)
+        unschedulable = left
+        if (pass.toBorrow.isNotEmpty()) shardClaims.borrow(pass.toBorrow, agents::push)
     }
 
     /** The more wait, the less a pass more would find: writes are what is short then, and processor time is for answers. */
     private fun passEvery(waiting: Int): Micros {
         val every =
             when {
-                waiting > HURRY -> PASS * 2
+                waiting > OVERLOAD_QUEUE -> PASS * 2
                 waiting > FEW -> PASS
                 else -> PASS / 3
             }
         // A pass looks at each of our machines: with hundreds of them it is their number that costs.
-        return every + every * fleet.mine.size / MANY
+        return every + every * agents.mine.size / MANY
     }
 
     /**
@@ -199,9 +199,9 @@
         job: Job,
         pass: Pass,
     ): Placer.Rooms? {
-        val home = ownership.home(job.id)
-        val idle = context.now - (still[job.id]?.sinceUs ?: context.now)
-        if (ownership.isLeader && isLarge(job, idle)) {
+        val home = shardClaims.preferredController(job.id)
+        val idle = context.now - (unchangedSince[job.id]?.sinceUs ?: context.now)
+        if (shardClaims.isLeader && isLarge(job, idle)) {
             // Our machines may hold a gang, were they empty, and never be empty at the same time.
             val waitsInVain = job.spec.isGang && idle >= LARGE_AFTER
             if (waitsInVain || !pass.mine.couldHold(job.spec, job.waiting)) return pass.wide
@@ -232,11 +232,11 @@
         pass: Pass,
         mayWrite: Boolean,
     ): Int {
-        if (!pass.changes.isTeamFree(job.spec.team)) return 0
+        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return 0
         val limit = minOf(pass.teams.tasks(job.spec), MAX_TASKS, startable)
         if (limit <= 0) return 0
-        val avoided = observer.failures.triedOn(job.id)
-        val found = placer.place(job.spec, job.waitingTasks(), rooms, zonesOf(job), limit, pass.hurried, avoided, keepsToSpot(job))
+        val avoided = reconciler.failures.triedOn(job.id)
+        val found = placer.place(job.spec, job.waitingTasks(), rooms, zonesOf(job), limit, pass.overloaded, avoided, keepsToSpot(job))
         if (found.isEmpty()) return 0
         // Gangs start whole or not at all.
         if (job.spec.isGang && found.size < job.waiting) return 0
@@ -257,8 +257,8 @@
         var count = 0
         for ((task, machine) in now) {
             // Each borrowed machine has a guard of its own, of which a transaction holds only so many.
-            if (machine !in machines && machine in replica.borrows && machines.count { it in replica.borrows } >= maxBorrowed) continue
-            if (machine !in machines && !draft.guard(ownership.guards(machine))) continue
+            if (machine !in machines && machine in cache.borrows && machines.count { it in cache.borrows } >= maxBorrowed) continue
+            if (machine !in machines && !draft.guard(shardClaims.guards(machine))) continue
             if (!draft.place(task, machine)) continue
             machines += machine
             pass.teams.take(job.spec, 1)
@@ -289,7 +289,7 @@
     /** How many of the waiting tasks of [job] may start now: of one that fails wherever it runs a single one, at its home. */
     fun startable(job: Job): Int {
         if (!isFaulty(job)) return job.waiting
-        val home = ownership.home(job.id)
+        val home = shardClaims.preferredController(job.id)
         return if (home == context.me || home == null) FailureTracker.probes(job.waiting, job.placed) else 0
     }
 
@@ -299,7 +299,7 @@
      */
     private fun isFaulty(job: Job): Boolean {
         if (job.done > 0) return false
-        return observer.failures.isFaulty(job.id) || (!job.spec.isService && health.isFaultyElsewhere(job.id))
+        return reconciler.failures.isFaulty(job.id) || (!job.spec.isService && health.isFaultyElsewhere(job.id))
     }
 
     /** Whether there is room for a task of [job]. Gangs need more than that, and say nothing. */
@@ -308,8 +308,8 @@
         rooms: Placer.Rooms,
         pass: Pass,
     ): Boolean {
-        if (job.spec.isGang || !pass.changes.isTeamFree(job.spec.team) || pass.teams.tasks(job.spec) <= 0) return false
-        val found = placer.place(job.spec, job.waitingTasks(), rooms, zonesOf(job), 1, pass.hurried)
+        if (job.spec.isGang || !pass.jobUpdates.isTeamFree(job.spec.team) || pass.teams.tasks(job.spec) <= 0) return false
+        val found = placer.place(job.spec, job.waitingTasks(), rooms, zonesOf(job), 1, pass.overloaded)
         return found.any { (_, machine) -> rooms[machine]?.let { it.own && it.ready } == true }
     }
 
@@ -319,10 +319,10 @@
     private val maxBorrowed = context.settings.limits.transactionOps
 
     /** The platform's files say 0 where there is no limit. */
-    private fun orUnlimited(limit: Double): Double = if (limit > 0) limit else TeamRoom.UNLIMITED
+    private fun orUnlimited(limit: Double): Double = if (limit > 0) limit else TeamQuota.UNLIMITED
 
     /** What teams may still use under their limits as the records stand. */
-    fun teamRoom(): TeamRoom = TeamRoom(limits, replica::usedBy)
+    fun teamQuota(): TeamQuota = TeamQuota(limits, cache::usedBy)
 
     /** Whether it is room that [job] waits for. For what its team's limit holds back nobody has to be stopped. */
     private fun teamMayPlace(
@@ -330,29 +330,29 @@
         pass: Pass,
     ): Boolean {
         val least = if (job.spec.isGang) job.waiting else 1
-        return pass.changes.isTeamFree(job.spec.team) && pass.teams.tasks(job.spec) >= least
+        return pass.jobUpdates.isTeamFree(job.spec.team) && pass.teams.tasks(job.spec) >= least
     }
 
     fun zonesOf(job: Job): Map<String, Int> {
         if (!job.spec.spread && !job.spec.oneZone) return emptyMap()
         val counts = HashMap<String, Int>()
-        job.placements().forEach { (_, at) -> replica.machines[at.machine]?.let { counts.merge(it.record.zone, 1, Int::plus) } }
+        job.placements().forEach { (_, at) -> cache.machines[at.machine]?.let { counts.merge(it.record.zone, 1, Int::plus) } }
         return counts
     }
 
-    private fun ownRooms(changes: Changes): List<Room> =
-        fleet.mine.mapNotNull { id ->
-            val known = replica.machines[id] ?: return@mapNotNull null
-            val claim = ownership.control(id)
-            if (claim != null && ownership.isMine(claim)) room(known, claim, true, null, changes) else null
+    private fun ownRooms(jobUpdates: JobUpdates): List<Room> =
+        agents.mine.mapNotNull { id ->
+            val known = cache.machines[id] ?: return@mapNotNull null
+            val claim = shardClaims.control(id)
+            if (claim != null && shardClaims.isMine(claim)) room(known, claim, true, null, jobUpdates) else null
         }
 
     /** Room on the other controllers' machines that they have heard from lately. */
-    private fun othersRooms(changes: Changes): List<Room> =
+    private fun othersRooms(jobUpdates: JobUpdates): List<Room> =
         health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
-            val known = replica.machines[id] ?: return@mapNotNull null
-            val claim = ownership.control(id)
-            if (claim != null && !ownership.isMine(claim)) room(known, claim, false, images, changes) else null
+            val known = cache.machines[id] ?: return@mapNotNull null
+            val claim = shardClaims.control(id)
+            if (claim != null && !shardClaims.isMine(claim)) room(known, claim, false, images, jobUpdates) else null
         }
 
     private fun room(
@@ -360,24 +360,30 @@
         claim: Claim,
         own: Boolean,
         hint: Set<String>?,
-        changes: Changes,
+        jobUpdates: JobUpdates,
     ): Room? {
-        val type = replica.types[known.record.type]
-        if (type == null || known.record.retiring != Retiring.NO || observer.isGone(known.id) || !observer.hasRoom(known.id)) return null
-        val view = fleet.view(known.id)
+        val type = cache.types[known.record.type]
+        if (type == null ||
+            known.record.retiring != Retiring.NO ||
+            reconciler.isGone(known.id) ||
+            !reconciler.hasRoom(known.id)
+        ) {
+            return null
+        }
+        val view = agents.view(known.id)
         if (view != null && commandPlanner.isEmptying(view, claim)) return null
-        val settling = own && fleet.isSettling(known.id)
+        val settling = own && agents.isSettling(known.id)
         if (own && !settling && !isUsable(view)) return null
         return Room(
             known.id,
             known.record.type,
             known.record.zone,
             known.record.spot,
-            type.capacity - replica.usedOn(known.id) + observer.freedOn(known.id) - changes.reservedOn(known.id),
+            type.capacity - cache.usedOn(known.id) + reconciler.freedOn(known.id) - jobUpdates.reservedOn(known.id),
             type.capacity,
             { view?.hasImage(it) == true || (hint != null && it in hint) },
             own,
-            yielding = replica.usedOn(known.id) - replica.servicesOn(known.id),
+            yielding = cache.usedOn(known.id) - cache.servicesOn(known.id),
             ready = !settling,
         )
     }
@@ -385,13 +391,13 @@
     /** In touch both ways: nothing is placed where commands may not arrive, however many reports come. */
     private fun isUsable(view: mintpick.core.MachineView?): Boolean =
         view != null &&
-            fleet.isConfirmed(view) &&
-            fleet.isFresh(view) &&
-            !fleet.isUnreachable(view.id) &&
-            !observer.failures.isFaulty(view.id)
+            agents.isConfirmed(view) &&
+            agents.isFresh(view) &&
+            !agents.isUnreachable(view.id) &&
+            !reconciler.failures.isFaulty(view.id)
 
     companion object {
-        private val LOG = org.slf4j.LoggerFactory.getLogger(Scheduling::class.java)
+        private val LOG = org.slf4j.LoggerFactory.getLogger(Scheduler::class.java)
         private val PLACES =
             // Exception to share order: services that users look at wait for nobody. See docs/design.md.
             compareBy<Place> { !it.job.spec.isProduction }
@@ -401,7 +407,7 @@
                 .thenBy { it.turn }
                 .thenBy { it.job.id.text }
         private const val MAX_TASKS = 512
-        private const val HURRY = 150
+        private const val OVERLOAD_QUEUE = 150
         private const val PRODUCTION_WRITES = 0.6
         private const val PASS: Micros = 120 * MILLI
         private const val PART_EVERY: Micros = 800 * MILLI
--- a/src/main/kotlin/mintpick/engine/Ownership.kt
+++ b/src/main/kotlin/mintpick/engine/ShardClaims.kt
@@ -21,9 +21,9 @@
  * claim of a shard hangs on its controller's lease and its version is the fencing token of the shard's machines.
  * A claim may be overwritten at any time: every placement is guarded by it, and workers drop lower tokens.
  */
-class Ownership(
+class ShardClaims(
     private val context: EngineContext,
-    private val link: StateLink,
+    private val stateStore: StateStoreClient,
 ) {
     private class Seen(
         val version: Long,
@@ -31,7 +31,7 @@
     )
 
     private val zones = context.settings.zones
-    private val shards = PARTS * zones.size
+    private val shards = PARTITIONS * zones.size
     private val seen = HashMap<Int, Seen>()
     private val absentSince = HashMap<Int, Micros>()
     private val busy = HashSet<String>()
@@ -41,22 +41,22 @@
     private var nextTickUs: Micros = 0
 
     /** Whether all controllers are in touch, so that parts may go back to where they belong. */
-    var calm: () -> Boolean = { true }
+    var allPeersInTouch: () -> Boolean = { true }
 
     /** Whether our calls reach the workers, so that what we take from others is served. */
-    var reaches: () -> Boolean = { true }
+    var reachesAgents: () -> Boolean = { true }
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     /** The part of the cluster that a machine or job hashes into, in every zone. */
-    fun part(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), PARTS)
+    fun part(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), PARTITIONS)
 
     /** Notes where a machine is; before that nobody commands it. */
-    fun meet(
+    fun register(
         machine: MachineId,
         zone: String,
     ) {
-        shardOf.getOrPut(machine) { maxOf(0, zones.indexOf(zone)) * PARTS + part(machine.text) }
+        shardOf.getOrPut(machine) { maxOf(0, zones.indexOf(zone)) * PARTITIONS + part(machine.text) }
     }
 
     fun forget(machine: MachineId) {
@@ -65,7 +65,7 @@
 
     fun shard(machine: MachineId): Int? {
         shardOf[machine]?.let { return it }
-        meet(machine, replica.machines[machine]?.record?.zone ?: return null)
+        register(machine, cache.machines[machine]?.record?.zone ?: return null)
         return shardOf[machine]
     }
 
@@ -75,60 +75,60 @@
      * still on their way, have higher tokens.
      */
     fun control(machine: MachineId): Claim? =
-        replica.borrows[machine] ?: shard(machine)?.let { replica.claims[it] }?.takeIf { !isOutbid(machine, it) }
+        cache.borrows[machine] ?: shard(machine)?.let { cache.claims[it] }?.takeIf { !isSuperseded(machine, it) }
 
-    private fun isOutbid(
+    private fun isSuperseded(
         machine: MachineId,
         claim: Claim,
-    ): Boolean = claim.version < (replica.borrowEnds[machine] ?: 0)
+    ): Boolean = claim.version < (cache.borrowEnds[machine] ?: 0)
 
     /** Whether the claim that commands [machine] is older than what a worker needs to find its way there. */
     fun isSettled(machine: MachineId): Boolean {
-        if (machine in replica.borrows) return false
+        if (machine in cache.borrows) return false
         val claim = shard(machine)?.let { seen[it] } ?: return false
         return context.now - claim.sinceUs > FIND_WAY
     }
 
     private fun controlKey(machine: MachineId): String? =
-        if (machine in replica.borrows) Keys.borrow(machine.text) else shard(machine)?.let { Keys.shard(it) }
+        if (machine in cache.borrows) Keys.borrow(machine.text) else shard(machine)?.let { Keys.shard(it) }
 
-    fun isMine(claim: Claim?): Boolean = claim != null && claim.node == context.me && claim.lease == link.lease
+    fun isMine(claim: Claim?): Boolean = claim != null && claim.node == context.me && claim.lease == stateStore.lease
 
     fun controls(machine: MachineId): Boolean = isMine(control(machine))
 
     /** The controller that places a job first: the holder of its part in the first zone. */
-    fun home(job: JobId): NodeId? = replica.claims[part(job.text)]?.node
+    fun preferredController(job: JobId): NodeId? = cache.claims[part(job.text)]?.node
 
-    val isLeader: Boolean get() = isMine(replica.leader)
+    val isLeader: Boolean get() = isMine(cache.leader)
 
-    fun isLive(node: NodeId): Boolean = node == context.me || node in replica.nodes
+    fun isLive(node: NodeId): Boolean = node == context.me || node in cache.nodes
 
     /** What must hold for a placement on [machine] to be this controller's to make. */
     fun guards(machine: MachineId): List<Guard> {
-        val borrow = replica.borrows[machine]
+        val borrow = cache.borrows[machine]
         if (borrow != null) return listOf(Guard(Keys.borrow(machine.text), borrow.version))
         val shard = shard(machine) ?: return emptyList()
         return listOf(
-            Guard(Keys.shard(shard), replica.claims[shard]?.version ?: 0),
-            Guard(Keys.epoch(shard), replica.version(Keys.epoch(shard))),
+            Guard(Keys.shard(shard), cache.claims[shard]?.version ?: 0),
+            Guard(Keys.epoch(shard), cache.version(Keys.epoch(shard))),
         )
     }
 
     fun tick() {
-        if (!link.serving || context.now < nextTickUs) return
+        if (!stateStore.serving || context.now < nextTickUs) return
         nextTickUs = context.now + TICK
         observe()
-        if (!link.reachable) return
+        if (!stateStore.reachable) return
         claimLeader()
         restore()
-        renewOutbid()
+        renewSuperseded()
         claimFree()
         rebalance()
     }
 
     private fun observe() {
         for (shard in 0 until shards) {
-            val claim = replica.claims[shard]
+            val claim = cache.claims[shard]
             if (claim == null) {
                 absentSince.putIfAbsent(shard, context.now)
                 seen.remove(shard)
@@ -140,46 +140,46 @@
     }
 
     private fun claimLeader() {
-        val leader = replica.leader
+        val leader = cache.leader
         // Our own earlier process held it: nobody else can.
-        if (leader == null || (leader.node == context.me && leader.lease != link.lease)) {
+        if (leader == null || (leader.node == context.me && leader.lease != stateStore.lease)) {
             claim(listOf(Keys.LEADER to (leader?.version ?: 0)), "leader")
         }
     }
 
     /** Claims of this node's earlier process are written anew: their lease is about to end. */
     private fun restore() {
-        val stale = replica.claims.filterValues { it.node == context.me && it.lease != link.lease }
+        val stale = cache.claims.filterValues { it.node == context.me && it.lease != stateStore.lease }
         if (stale.isNotEmpty()) claim(stale.map { (shard, claim) -> Keys.shard(shard) to claim.version }, "restored")
-        val borrowed = replica.borrows.filterValues { it.node == context.me && it.lease != link.lease }
+        val borrowed = cache.borrows.filterValues { it.node == context.me && it.lease != stateStore.lease }
         if (borrowed.isNotEmpty()) claim(borrowed.map { (machine, claim) -> Keys.borrow(machine.text) to claim.version }, "restored")
     }
 
     /** Claims of ours that a borrowing has outbid are written anew, so that their token exceeds the borrower's. */
-    private fun renewOutbid() {
+    private fun renewSuperseded() {
         val shards =
-            replica.borrowEnds.keys.mapNotNullTo(HashSet()) { machine ->
-                shard(machine)?.takeIf { shard -> replica.claims[shard]?.let { isMine(it) && isOutbid(machine, it) } ?: false }
+            cache.borrowEnds.keys.mapNotNullTo(HashSet()) { machine ->
+                shard(machine)?.takeIf { shard -> cache.claims[shard]?.let { isMine(it) && isSuperseded(machine, it) } ?: false }
             }
-        if (shards.isNotEmpty()) claim(shards.map { Keys.shard(it) to (replica.claims[it]?.version ?: 0) }, "outbid")
+        if (shards.isNotEmpty()) claim(shards.map { Keys.shard(it) to (cache.claims[it]?.version ?: 0) }, "outbid")
     }
 
     private val everybody = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
 
-    private fun live(): List<NodeId> = replica.nodes.keys.sortedBy { it.text }
+    private fun live(): List<NodeId> = cache.nodes.keys.sortedBy { it.text }
 
     /** Who holds a part when all is well. */
     private fun holder(
         shard: Int,
         live: List<NodeId>,
-    ): NodeId? = if (live.isEmpty()) null else live[shard % PARTS % live.size]
+    ): NodeId? = if (live.isEmpty()) null else live[shard % PARTITIONS % live.size]
 
     private fun claimFree() {
-        val free = (0 until shards).filter { it !in replica.claims }
+        val free = (0 until shards).filter { it !in cache.claims }
         if (free.isEmpty()) return
-        val mine = replica.claims.values.count { it.node == context.me }
+        val mine = cache.claims.values.count { it.node == context.me }
         // Just after a start the others are about to come, too: each takes what will be its own.
-        val settled = context.now - link.servingSinceUs > SETTLE
+        val settled = context.now - stateStore.servingSinceUs > SETTLE
         val live = if (settled) live() else everybody
         val share = ceilDiv(shards, maxOf(1, live.size))
         val rank = live.indexOf(context.me).coerceAtLeast(0)
@@ -195,9 +195,9 @@
     /** Takes old claims back to where they belong, so that each controller has its part in every zone. */
     private fun rebalance() {
         // Only while all are in touch, so what each is to hold does not change with those that come and go.
-        if (context.now - link.servingSinceUs < SETTLE || !calm() || !reaches()) return
+        if (context.now - stateStore.servingSinceUs < SETTLE || !allPeersInTouch() || !reachesAgents()) return
         val wrong =
-            replica.claims.filter { (shard, claim) ->
+            cache.claims.filter { (shard, claim) ->
                 claim.node != context.me &&
                     holder(shard, everybody) == context.me &&
                     context.now - (seen[shard]?.sinceUs ?: context.now) > KEEP
@@ -209,7 +209,7 @@
      * Takes over a machine whose controller does not serve it, and runs [then] when that is decided: with its
      * whole shard if [whole], since a write for each of hundreds of machines would take longer than their leases.
      */
-    fun adopt(
+    fun takeOver(
         machine: MachineId,
         whole: Boolean,
         from: NodeId,
@@ -220,8 +220,8 @@
         val shard = shard(machine)
         // Somebody else may have taken it over while we asked the machine.
         if (claim == null || shard == null || claim.node != from) return then()
-        if (!whole || machine in replica.borrows) {
-            val targets = listOf(Keys.borrow(machine.text) to (replica.borrows[machine]?.version ?: 0))
+        if (!whole || machine in cache.borrows) {
+            val targets = listOf(Keys.borrow(machine.text) to (cache.borrows[machine]?.version ?: 0))
             return claim(targets, reason, setOf(shard)) { then() }
         }
         val waiting = takeovers.getOrPut(shard) { ArrayList() }
@@ -243,7 +243,7 @@
     }
 
     private fun record(): JsonElement? =
-        link.lease?.let { WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord(context.me.text, it)) }
+        stateStore.lease?.let { WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord(context.me.text, it)) }
 
     /**
      * Takes machines from their shards' owners, whose guards fail from the write on: it raises their shards'
@@ -254,14 +254,14 @@
         machines: Collection<MachineId>,
         then: (MachineId) -> Unit,
     ) {
-        if (!isLeader || !reaches()) return
+        if (!isLeader || !reachesAgents()) return
         // One that another controller has adopted is taken from it in the same way.
         val free = machines.filter { !controls(it) && shard(it) != null }.take(maxOf(1, context.settings.limits.transactionOps / 2))
         if (free.isEmpty()) return
-        val targets = free.map { Keys.borrow(it.text) to (replica.borrows[it]?.version ?: 0L) }
+        val targets = free.map { Keys.borrow(it.text) to (cache.borrows[it]?.version ?: 0L) }
         claim(targets, "borrowed", free.mapNotNullTo(HashSet()) { shard(it) }) { done ->
             if (done) {
-                link.caughtUp { }
+                stateStore.caughtUp { }
                 free.forEach(then)
             }
         }
@@ -269,10 +269,10 @@
 
     /** Returns a borrowed machine to its shard. */
     fun giveBack(machine: MachineId) {
-        val borrow = replica.borrows[machine] ?: return
+        val borrow = cache.borrows[machine] ?: return
         val key = Keys.borrow(machine.text)
         if (!busy.add(key)) return
-        link.transact(listOf(Guard(key, borrow.version)), listOf(Write(key, null))) { busy.remove(key) }
+        stateStore.transact(listOf(Guard(key, borrow.version)), listOf(Write(key, null))) { busy.remove(key) }
     }
 
     private fun claim(
@@ -283,10 +283,10 @@
     ) {
         val record = record() ?: return then(false)
         val open = targets.filter { it.first !in busy }.take(maxOf(1, context.settings.limits.transactionOps - epochs.size))
-        if (open.isEmpty() || link.writesAllowed() < 1) return then(false)
+        if (open.isEmpty() || stateStore.writesAllowed() < 1) return then(false)
         busy += open.map { it.first }
         val writes = open.map { Write(it.first, record, leased = true) } + epochs.map { Write(Keys.epoch(it), record) }
-        link.transact(open.map { Guard(it.first, it.second) }, writes) { result ->
+        stateStore.transact(open.map { Guard(it.first, it.second) }, writes) { result ->
             busy -= open.map { it.first }.toSet()
             if (result is TransactionResult.Committed) {
                 LOG.info("claimed keys={} token={} reason={}", open.map { it.first.removePrefix(Keys.ROOT) }, result.revision, reason)
@@ -301,8 +301,8 @@
     ) = (a + b - 1) / b
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(Ownership::class.java)
-        const val PARTS = 12
+        private val LOG = LoggerFactory.getLogger(ShardClaims::class.java)
+        const val PARTITIONS = 12
         private const val TICK: Micros = 100 * MILLI
         private const val SETTLE: Micros = 3 * SECOND
         private const val STAGGER: Micros = 300 * MILLI
--- a/src/main/kotlin/mintpick/engine/SpecStorage.kt
+++ b/src/main/kotlin/mintpick/engine/SpecStorage.kt
@@ -12,7 +12,7 @@
     private val formats: FormatGate,
     private val limits: TransactionLimits,
 ) {
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     private fun pieces(job: Job): List<String> = SpecPieces.split(job.spec, formats.valueBytes)
 
@@ -21,7 +21,7 @@
     /** The next of the pieces that have to be stored before [job] can be written with its specification apart; null: none. */
     fun unstored(job: Job): TransactionPart? {
         if (keepsItsPlace(job)) return null
-        val missing = pieces(job).withIndex().filter { (i, text) -> replica.specPiece(job.id, i) != text }
+        val missing = pieces(job).withIndex().filter { (i, text) -> cache.specPiece(job.id, i) != text }
         if (missing.isEmpty()) return null
         val writes = missing.take(limits.changes).map { (i, text) -> Write(Keys.spec(job.id.text, i), SpecPieces.json(text)) }
         // Late copies of these writes fail once the main record names the pieces, or the job has changed otherwise.
@@ -34,6 +34,6 @@
     /** The pieces as they are known: another submission of the same id must not mix with them. */
     fun guards(job: Job): Set<Guard> =
         (0 until job.specPieces).mapTo(LinkedHashSet()) { i ->
-            Keys.spec(job.id.text, i).let { Guard(it, replica.version(it)) }
+            Keys.spec(job.id.text, i).let { Guard(it, cache.version(it)) }
         }
 }
--- a/src/main/kotlin/mintpick/engine/StateLink.kt
+++ b/src/main/kotlin/mintpick/engine/StateStoreClient.kt
@@ -32,7 +32,7 @@
  * This controller's standing with the state service: loads the records, joins with a lease, follows the
  * changes, and carries transactions, all within this controller's part of the request limits.
  */
-class StateLink(
+class StateStoreClient(
     private val context: EngineContext,
     private val formats: FormatGate,
 ) {
@@ -59,9 +59,12 @@
 
     private val protocol = StateProtocol(context.settings.state.toString())
     private val controllers = context.settings.peers.size + 1
-    private val requests = Bucket(context.settings.limits.rps * SHARE / controllers, context.settings.limits.rps * SHARE / controllers)
+    private val requests = TokenBucket(context.settings.limits.rps * SHARE / controllers, context.settings.limits.rps * SHARE / controllers)
     private val writes =
-        Bucket(context.settings.limits.writeRps * WRITE_SHARE / controllers, context.settings.limits.writeRps * WRITE_SHARE / controllers)
+        TokenBucket(
+            context.settings.limits.writeRps * WRITE_SHARE / controllers,
+            context.settings.limits.writeRps * WRITE_SHARE / controllers,
+        )
     private var busy = false
     private var followOpen = false
     private var leaseBusy = false
@@ -167,21 +170,21 @@
     }
 
     private fun loaded(page: ItemPage) {
-        page.items.forEach { context.replica.apply(it.key, it.value, it.version) }
+        page.items.forEach { context.cache.apply(it.key, it.value, it.version) }
         val firstRevision = loading.firstRevision ?: page.revision.also { loading.firstRevision = it }
         if (page.more && page.items.isNotEmpty()) {
             loading.lastKey = page.items.last().key
             return load()
         }
         // Pages are not one moment: the watch starts at the first page's revision and repeats what changed meanwhile.
-        context.replica.reached(firstRevision)
+        context.cache.reached(firstRevision)
         loading.hasAllPages = true
         if (loading.lastKey == null) endLoad() else load()
     }
 
     private fun endLoad() {
         phase = if (lease == null) Phase.JOINING else Phase.SERVING
-        LOG.info("loaded revision={} jobs={}", context.replica.revision, context.replica.jobs.size)
+        LOG.info("loaded revision={} jobs={}", context.cache.revision, context.cache.jobs.size)
     }
 
     /** With several pages nobody serves before that: a guard from a later page would hold although changes from before it are not known. */
@@ -189,7 +192,7 @@
         busy = true
         val sent = context.now
         requests.force(sent, 1.0)
-        context.call(protocol.follow(context.replica.revision, 0)) { outcome ->
+        context.call(protocol.follow(context.cache.revision, 0)) { outcome ->
             val result = protocol.readEvents(outcome)
             note(sent, result)
             busy = false
@@ -240,7 +243,7 @@
     private fun renew() {
         val lease = lease ?: return
         // A late write of an earlier registration may have hung our record on a lease that is over.
-        if (!busy && context.replica.nodes[context.me]?.lease != lease && context.now >= nextLoadUs) {
+        if (!busy && context.cache.nodes[context.me]?.lease != lease && context.now >= nextLoadUs) {
             nextLoadUs = context.now + SECOND
             register(lease)
             return
@@ -268,16 +271,16 @@
     }
 
     /** The process stood still: a lease that was not renewed within its time may be over, and what hangs on it taken. */
-    fun stoodStill() {
+    fun onProcessPause() {
         if (context.now - (lastServedUs ?: 0) > LEASE_TTL) leaseLost("stood still")
     }
 
     private fun follow() {
         followOpen = true
-        val copy = context.replica
+        val copy = context.cache
         val sent = context.now
-        context.call(protocol.follow(context.replica.revision, FOLLOW_WAIT)) { outcome ->
-            if (copy === context.replica) {
+        context.call(protocol.follow(context.cache.revision, FOLLOW_WAIT)) { outcome ->
+            if (copy === context.cache) {
                 followOpen = false
                 val result = protocol.readEvents(outcome)
                 // A watch stays open through an outage, so only its answer says that the service serves.
@@ -290,8 +293,8 @@
 
     private fun take(result: StateResult<EventPage>): Boolean {
         if (result is StateResult.Gone) {
-            LOG.warn("watch too old revision={}", context.replica.revision)
-            context.forgetReplica()
+            LOG.warn("watch too old revision={}", context.cache.revision)
+            context.resetCache()
             recordsKnownUs = null
             nextRefreshUs = 0
             phase = Phase.LOADING
@@ -303,9 +306,9 @@
         // In whichever order they are told, a job has to be known before its chunks.
         for (event in result.value.events.sortedBy { Keys.isChunk((it.put ?: it.delete).orEmpty()) }) {
             val key = event.put ?: event.delete ?: continue
-            context.replica.apply(key, if (event.put != null) event.value else null, event.version)
+            context.cache.apply(key, if (event.put != null) event.value else null, event.version)
         }
-        context.replica.reached(result.value.revision)
+        context.cache.reached(result.value.revision)
         return true
     }
 
@@ -329,14 +332,14 @@
         val waiters = catchUpWaiters
         catchUpWaiters = ArrayList()
         val sent = context.now
-        val copy = context.replica
+        val copy = context.cache
         nextCatchUpUs = sent + CATCH_UP_GAP
-        context.call(protocol.follow(context.replica.revision, 0)) { outcome ->
+        context.call(protocol.follow(context.cache.revision, 0)) { outcome ->
             catchUpBusy = false
             val result = protocol.readEvents(outcome)
             note(sent, result)
             // From before the records were read anew it says nothing of the new copy.
-            val ok = copy === context.replica && take(result)
+            val ok = copy === context.cache && take(result)
             if (ok) recordsKnown(sent)
             waiters.forEach { it(ok) }
         }
@@ -373,7 +376,7 @@
         val sent = context.now
         val number = ++lastTransaction
         openSince[number] = sent
-        val copy = context.replica
+        val copy = context.cache
         context.call(protocol.transact(Transaction(guards, wire))) { outcome ->
             openSince.remove(number)
             val result = protocol.readTransaction(outcome)
@@ -397,12 +400,12 @@
                 TransactionResult.Unknown -> failed()
             }
             // The new copy may not show it yet, and what is told of it must be in the records.
-            then(if (copy === context.replica) result else TransactionResult.Unknown)
+            then(if (copy === context.cache) result else TransactionResult.Unknown)
         }
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(StateLink::class.java)
+        private val LOG = LoggerFactory.getLogger(StateStoreClient::class.java)
         private const val LIMITED = 429
 
         /** Parts of the limits that controllers plan for; the rest is for leases and bursts. */
--- a/src/main/kotlin/mintpick/engine/TransactionGroup.kt
+++ b/src/main/kotlin/mintpick/engine/TransactionBatch.kt
@@ -30,7 +30,7 @@
 }
 
 /** Parts that go into one transaction, with the reservations that they bring with them. */
-internal class TransactionGroup(
+internal class TransactionBatch(
     private val limits: TransactionLimits,
     private val takesSeveral: Boolean,
 ) {
--- a/src/main/kotlin/mintpick/engine/Accounting.kt
+++ b/src/main/kotlin/mintpick/engine/UsageAccounting.kt
@@ -20,10 +20,10 @@
 import mintpick.wire.WireJson
 
 /** Keeps each team's windowed use of machine time, and says who is funded and who comes first. */
-class Accounting(
+class UsageAccounting(
     private val context: EngineContext,
-    private val link: StateLink,
-    private val ownership: Ownership,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
     private val operators: Operators,
     private val formats: FormatGate,
 ) {
@@ -41,7 +41,7 @@
     private val overShare = HashMap<String, Boolean>()
     private var usageAt: Micros = -REFRESH
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     private fun budgets(): ShareNode.Group {
         val given = operators.shares
@@ -51,7 +51,7 @@
     }
 
     fun tick() {
-        if (!link.serving) return
+        if (!stateStore.serving) return
         restore()
         val before = lastUs
         if (before != null && context.now - before < TICK) return
@@ -70,7 +70,7 @@
     /** Use by slot and team that [node] has stored; what a piece tells of a slot counts before the whole of earlier versions. */
     private fun stored(node: NodeId): Map<Long, Map<String, Double>> {
         val slots = HashMap<Long, HashMap<String, Double>>()
-        for ((_, record) in replica.usage[node].orEmpty().toSortedMap()) {
+        for ((_, record) in cache.usage[node].orEmpty().toSortedMap()) {
             val first = record.firstTeam ?: 0
             for ((slot, shares) in record.slots) {
                 val use = slots.getOrPut(slot.toLongOrNull() ?: continue) { HashMap() }
@@ -83,13 +83,13 @@
     /** The cluster's size is what machines of all known kinds that have reported add up to. */
     private fun charge(seconds: Double) {
         var total = Resources.ZERO
-        for (machine in replica.machines.values) total += replica.types[machine.record.type]?.capacity ?: continue
+        for (machine in cache.machines.values) total += cache.types[machine.record.type]?.capacity ?: continue
         if (total == Resources.ZERO) return
         val used = HashMap<String, Resources>()
-        for (machine in replica.machines.values) {
-            if (!ownership.controls(machine.id)) continue
-            for (task in replica.tasksOn(machine.id).keys) {
-                val spec = replica.job(task.job)?.spec ?: continue
+        for (machine in cache.machines.values) {
+            if (!shardClaims.controls(machine.id)) continue
+            for (task in cache.tasksOn(machine.id).keys) {
+                val spec = cache.job(task.job)?.spec ?: continue
                 used.merge(spec.team, spec.demand, Resources::plus)
             }
         }
@@ -98,14 +98,14 @@
     }
 
     private fun summarize() {
-        if (busy || context.now < nextSummaryUs || !link.reachable || link.writesAllowed() < SPARE_WRITES) return
+        if (busy || context.now < nextSummaryUs || !stateStore.reachable || stateStore.writesAllowed() < SPARE_WRITES) return
         nextSummaryUs = context.now + operators.summaryEveryUs
         busy = true
         val writes = if (formats.current == RecordFormat.VERBOSE) listOf(wholeSummary()) else pieceSummaries()
         var open = 0
         for (some in writes.chunked(context.settings.limits.transactionOps)) {
             open++
-            link.transact(emptyList(), some) { if (--open == 0) busy = false }
+            stateStore.transact(emptyList(), some) { if (--open == 0) busy = false }
         }
     }
 
@@ -127,7 +127,7 @@
                 summary(piece.number, UsageRecord(context.wall, slots, piece.teams.first))
             }
         val oldest = window.slotOf(context.wall - operators.windowUs)
-        val whole = replica.usage[context.me]?.get(0)
+        val whole = cache.usage[context.me]?.get(0)
         val isOver = whole != null && whole.slots.keys.none { (it.toLongOrNull() ?: 0) >= oldest }
         return if (isOver) pieces + Write(Keys.usage(context.me.text), null) else pieces
     }
@@ -151,7 +151,7 @@
             val sums = HashMap<String, Double>()
             teams.forEach { sums[it.name] = window.use(it.name) }
             val oldest = window.slotOf(context.wall - operators.windowUs)
-            for (node in replica.usage.keys) {
+            for (node in cache.usage.keys) {
                 if (node == context.me) continue
                 for ((slot, use) in stored(node)) if (slot >= oldest) use.forEach { (team, share) -> sums.merge(team, share, Double::plus) }
             }
@@ -177,7 +177,7 @@
     fun isFunded(job: JobId): Boolean {
         if (context.now - fundedAt >= FUNDED_EVERY) {
             fundedAt = context.now
-            val byTeam = replica.jobs.filter { it.stage == StoredStage.OPEN && it.isReleased }.groupBy { it.spec.team }
+            val byTeam = cache.jobs.filter { it.stage == StoredStage.OPEN && it.isReleased }.groupBy { it.spec.team }
             fundedJobs =
                 teams.flatMapTo(HashSet()) { team ->
                     val jobs = byTeam[team.name].orEmpty().sortedWith(compareBy<Job> { it.submittedUs }.thenBy { it.id.text })
--- a/src/main/kotlin/mintpick/engine/UserRequests.kt
+++ b/src/main/kotlin/mintpick/engine/UserRequests.kt
@@ -23,7 +23,7 @@
 /** The users' requests: each is answered once, from records that are new enough, or refused at once. */
 class UserRequests(
     private val context: EngineContext,
-    private val link: StateLink,
+    private val stateStore: StateStoreClient,
     private val formats: FormatGate,
 ) {
     /** A submission or cancellation that waits to be stored. */
@@ -38,7 +38,7 @@
     val submissions = LinkedHashMap<JobId, Pending>()
     val cancellations = LinkedHashMap<JobId, Pending>()
 
-    private val replica get() = context.replica
+    private val cache get() = context.cache
 
     /** What can be stored soon; more would only wait for an answer that can't come in time, so it is refused at once. */
     private val maxPending = maxOf(MIN_PENDING, (context.settings.limits.writeRps / (context.settings.peers.size + 1) * PENDING_S).toInt())
@@ -48,12 +48,12 @@
         reply: ReplyTo,
     ) {
         val id = JobId(spec.id)
-        val over = replica.final(id)
+        val over = cache.final(id)
         when {
             over != null -> context.send(reply, stageAnswer(id, stageOf(over.stage)))
-            !link.serving || !link.reachable -> context.send(reply, busy("the state service does not answer"))
-            replica.types.isEmpty() -> context.send(reply, busy("machine types are not known yet"))
-            replica.job(id) != null -> current(id, reply)
+            !stateStore.serving || !stateStore.reachable -> context.send(reply, busy("the state service does not answer"))
+            cache.types.isEmpty() -> context.send(reply, busy("machine types are not known yet"))
+            cache.job(id) != null -> current(id, reply)
             submissions.size >= maxPending -> context.send(reply, errorAnswer(TOO_MANY, "too many submissions", RETRY_S))
             else -> {
                 val refusal = refusal(spec)
@@ -62,7 +62,7 @@
                     refusal != null -> lookUp(id, reply) { errorAnswer(UNPROCESSABLE, refusal) }
                     spec.predecessors == null -> admit(spec, reply)
                     !formats.allowsDependencies -> lookUp(id, reply) { busy("not all controllers know jobs that wait for others yet") }
-                    spec.predecessorIds.all(replica::knows) -> admit(spec, reply)
+                    spec.predecessorIds.all(cache::knows) -> admit(spec, reply)
                     else -> admitOnceKnown(spec, reply)
                 }
             }
@@ -83,12 +83,12 @@
     private fun admitOnceKnown(
         spec: JobSpec,
         reply: ReplyTo,
-    ) = link.caughtUp { ok ->
+    ) = stateStore.caughtUp { ok ->
         val id = JobId(spec.id)
-        val unknown = spec.predecessorIds.filterNot(replica::knows)
+        val unknown = spec.predecessorIds.filterNot(cache::knows)
         when {
             !ok -> context.send(reply, busy("the state service does not answer"))
-            replica.knows(id) -> context.send(reply, stageAnswer(id, statusOf(id)?.stage ?: JobStage.QUEUED))
+            cache.knows(id) -> context.send(reply, stageAnswer(id, statusOf(id)?.stage ?: JobStage.QUEUED))
             unknown.isEmpty() -> admit(spec, reply)
             unknown.any { it in submissions } -> context.send(reply, busy("waits_on: a job is being stored"))
             else -> context.send(reply, errorAnswer(UNPROCESSABLE, "waits_on: ${unknown.first().text} was never accepted"))
@@ -101,7 +101,7 @@
         reason: String,
         reply: ReplyTo,
     ) {
-        val over = replica.final(id)
+        val over = cache.final(id)
         if (over != null) {
             context.send(reply, stageAnswer(id, stageOf(over.stage)))
         } else {
@@ -119,7 +119,7 @@
         id: JobId,
         reply: ReplyTo,
         otherwise: () -> Answer,
-    ) = link.caughtUp { ok ->
+    ) = stateStore.caughtUp { ok ->
         val known = statusOf(id)
         context.send(
             reply,
@@ -135,12 +135,12 @@
         id: JobId,
         reply: ReplyTo,
     ) {
-        val over = replica.final(id)
+        val over = cache.final(id)
         if (over != null) {
             context.send(reply, statusAnswer(statusOf(id)))
             return
         }
-        link.caughtUp { ok -> context.send(reply, if (ok) statusAnswer(statusOf(id)) else busy("the state service does not answer")) }
+        stateStore.caughtUp { ok -> context.send(reply, if (ok) statusAnswer(statusOf(id)) else busy("the state service does not answer")) }
     }
 
     private fun statusAnswer(status: JobStatus?): Answer =
@@ -154,16 +154,16 @@
         id: JobId,
         reply: ReplyTo,
     ) {
-        val over = replica.final(id)
+        val over = cache.final(id)
         when {
             over != null -> context.send(reply, stageAnswer(id, stageOf(over.stage)))
-            !link.serving || !link.reachable -> context.send(reply, busy("the state service does not answer"))
-            replica.job(id)?.stage == StoredStage.CANCELLED -> context.send(reply, stageAnswer(id, JobStage.CANCELLED))
+            !stateStore.serving || !stateStore.reachable -> context.send(reply, busy("the state service does not answer"))
+            cache.job(id)?.stage == StoredStage.CANCELLED -> context.send(reply, stageAnswer(id, JobStage.CANCELLED))
             else ->
-                link.caughtUp { ok ->
+                stateStore.caughtUp { ok ->
                     when {
                         !ok -> context.send(reply, busy("the state service does not answer"))
-                        replica.knows(id) -> cancellations.getOrPut(id) { Pending(null, context.now) }.replies += reply
+                        cache.knows(id) -> cancellations.getOrPut(id) { Pending(null, context.now) }.replies += reply
                         else -> context.send(reply, errorAnswer(NOT_FOUND, "no such job"))
                     }
                 }
@@ -172,9 +172,9 @@
 
     /** Ends what has been stored or decided meanwhile, and refuses what has waited too long. */
     fun tick() {
-        settle(submissions) { id -> replica.knows(id) }
+        settle(submissions) { id -> cache.knows(id) }
         settle(cancellations) { id ->
-            replica.final(id) != null || replica.job(id)?.stage == StoredStage.CANCELLED
+            cache.final(id) != null || cache.job(id)?.stage == StoredStage.CANCELLED
         }
     }
 
@@ -189,7 +189,7 @@
             if (decided(id)) {
                 waiting.replies.forEach { current(id, it) }
                 entries.remove()
-            } else if (!link.reachable || context.now - waiting.sinceUs > PATIENCE) {
+            } else if (!stateStore.reachable || context.now - waiting.sinceUs > PATIENCE) {
                 waiting.replies.forEach { context.send(it, busy("could not be stored in time")) }
                 entries.remove()
             }
@@ -215,8 +215,8 @@
     ): Answer = Answer.json(status, WireJson.encodeToString(JobAnswer.serializer(), JobAnswer(id.text, stage)))
 
     private fun statusOf(id: JobId): JobStatus? {
-        replica.final(id)?.let { return JobStatus(id.text, stageOf(it.stage), if (it.stage == StoredStage.DONE) it.tasks else 0, 0) }
-        val job = replica.job(id) ?: return null
+        cache.final(id)?.let { return JobStatus(id.text, stageOf(it.stage), if (it.stage == StoredStage.DONE) it.tasks else 0, 0) }
+        val job = cache.job(id) ?: return null
         val stage =
             when {
                 job.stage == StoredStage.CANCELLED -> JobStage.CANCELLED
@@ -237,7 +237,7 @@
     private fun refusal(spec: JobSpec): String? {
         val team = context.settings.teams.firstOrNull { it.name == spec.team } ?: return "unknown team"
         val fits =
-            replica.types.values.any { type ->
+            cache.types.values.any { type ->
                 (spec.types == null || type.name in spec.types) &&
                     (spec.zone == null || spec.zone in type.zones) &&
                     spec.demand.fits(type.capacity)
--- a/src/main/kotlin/mintpick/store/CompactFleet.kt
+++ b/src/main/kotlin/mintpick/store/CompactMachineList.kt
@@ -6,7 +6,7 @@
 import java.util.Base64
 
 /** A list of machines as a short text: kinds once, names and addresses by what differs from the one before. */
-internal object CompactFleet {
+internal object CompactMachineList {
     private const val VERSION = 1
     private const val MARKS = 4
     private val RETIRING = listOf(Retiring.NO, Retiring.DRAIN, Retiring.NOW)
--- a/src/main/kotlin/mintpick/store/Keys.kt
+++ b/src/main/kotlin/mintpick/store/Keys.kt
@@ -13,7 +13,7 @@
     private const val NODE = ROOT + "n/"
     private const val TEAM = ROOT + "t/"
     private const val USAGE = ROOT + "u/"
-    private const val FLEET = ROOT + "f/"
+    private const val MACHINE_LIST = ROOT + "f/"
     private const val EPOCH = ROOT + "v/"
     private const val FORMAT = ROOT + "x/"
     private const val SPEC = ROOT + "p/"
@@ -33,10 +33,10 @@
     fun borrow(machine: String) = BORROW + machine
 
     /** A part's list of machines is split into pieces once it outgrows a value; the first has the part's own name. */
-    fun fleet(
+    fun machineList(
         part: Int,
         piece: Int = 0,
-    ) = if (piece == 0) FLEET + part else "$FLEET$part/$piece"
+    ) = if (piece == 0) MACHINE_LIST + part else "$MACHINE_LIST$part/$piece"
 
     /** Rises with every borrowing from a shard, so that its owner's guards notice any of them. */
     fun epoch(shard: Int) = EPOCH + shard
@@ -94,7 +94,7 @@
             val machine: String,
         ) : Subject
 
-        data class Fleet(
+        data class MachineList(
             val part: Int,
             val piece: Int = 0,
         ) : Subject
@@ -133,7 +133,7 @@
             key.startsWith(JOB) -> Subject.Job(key.substring(JOB.length))
             key.startsWith(CHUNK) -> chunkOf(key.substring(CHUNK.length))
             key.startsWith(SHARD) -> key.substring(SHARD.length).toIntOrNull()?.let { Subject.Shard(it) }
-            key.startsWith(FLEET) -> fleetOf(key.substring(FLEET.length))
+            key.startsWith(MACHINE_LIST) -> fleetOf(key.substring(MACHINE_LIST.length))
             key.startsWith(EPOCH) -> Subject.Epoch
             key.startsWith(BORROW) -> Subject.Borrow(key.substring(BORROW.length))
             key.startsWith(MACHINE) -> Subject.Machine(key.substring(MACHINE.length))
@@ -147,9 +147,9 @@
 
     private fun fleetOf(rest: String): Subject? {
         val part = rest.substringBefore('/').toIntOrNull() ?: return null
-        if ('/' !in rest) return Subject.Fleet(part)
+        if ('/' !in rest) return Subject.MachineList(part)
         val piece = rest.substringAfter('/').toIntOrNull() ?: return null
-        return if (piece > 0) Subject.Fleet(part, piece) else null
+        return if (piece > 0) Subject.MachineList(part, piece) else null
     }
 
     private fun specOf(rest: String): Subject? =
--- a/src/main/kotlin/mintpick/store/RecordCodec.kt
+++ b/src/main/kotlin/mintpick/store/RecordCodec.kt
@@ -89,11 +89,11 @@
         return Job(id, spec, record.stage, record.submittedUs, version, others + (0 to first), specPieces = record.specPieces ?: 0)
     }
 
-    fun fleetJson(
+    fun machineListJson(
         machines: Map<MachineId, MachineRecord>,
         format: RecordFormat,
     ): JsonElement {
-        if (format >= RecordFormat.COMPACT) return encode(FleetRecord(compact = CompactFleet.encode(machines)))
+        if (format >= RecordFormat.COMPACT) return encode(FleetRecord(compact = CompactMachineList.encode(machines)))
         val groups =
             machines.entries.groupBy { Triple(it.value.type, it.value.zone, it.value.spot) }.map { (kind, members) ->
                 FleetGroup(kind.first, kind.second, kind.third, members.associate { it.key.text to it.value.address })
@@ -102,9 +102,9 @@
         return encode(FleetRecord(groups, retiring))
     }
 
-    fun decodeFleet(value: JsonElement): Map<MachineId, MachineRecord> {
+    fun decodeMachineList(value: JsonElement): Map<MachineId, MachineRecord> {
         val record = WireJson.decodeFromJsonElement(FleetRecord.serializer(), value)
-        record.compact?.let { return CompactFleet.decode(it) }
+        record.compact?.let { return CompactMachineList.decode(it) }
         val machines = HashMap<MachineId, MachineRecord>()
         for (group in record.groups) {
             for ((id, address) in group.machines) {
--- a/src/test/kotlin/mintpick/core/PlacerTest.kt
+++ b/src/test/kotlin/mintpick/core/PlacerTest.kt
@@ -62,8 +62,8 @@
                 mintpick.wire.MachineType("dear", 16.0, 0.0, 64.0, price = 4.0, spotPrice = 2.0, zones = listOf("north", "south")),
                 mintpick.wire.MachineType("cheap", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north", "south")),
             ).associateBy { it.name }
-        val shopper = Shopper(types, listOf("north", "south")) { true }
-        val spot = shopper.plan(emptyList(), listOf(Shopper.Want(Samples.spec(cpus = 4.0), 4)), 10)
+        val scaleOutPlanner = ScaleOutPlanner(types, listOf("north", "south")) { true }
+        val spot = scaleOutPlanner.plan(emptyList(), listOf(ScaleOutPlanner.Want(Samples.spec(cpus = 4.0), 4)), 10)
         assertEquals(
             setOf("cheap" to true),
             spot.rent.keys
@@ -72,9 +72,9 @@
         )
         assertEquals(2, spot.rent.values.sum())
         val spread =
-            shopper.plan(
+            scaleOutPlanner.plan(
                 emptyList(),
-                listOf(Shopper.Want(Samples.spec(cpus = 1.0, tasks = 2, spot = false, spread = true), 2)),
+                listOf(ScaleOutPlanner.Want(Samples.spec(cpus = 1.0, tasks = 2, spot = false, spread = true), 2)),
                 10,
             )
         assertEquals(
@@ -94,13 +94,13 @@
             ).associateBy { it.name }
         val total = Resources(8.0, 0.0, 32.0)
         val full = Room(MachineId("m"), "small", "north", false, Resources.ZERO, total, { false }, true, yielding = total)
-        val shopper = Shopper(types, listOf("north")) { true }
-        val service = Shopper.Want(Samples.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
-        assertEquals(emptyMap<Offer, Int>(), shopper.plan(listOf(full), listOf(service), 5).rent)
+        val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { true }
+        val service = ScaleOutPlanner.Want(Samples.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
+        assertEquals(emptyMap<Offer, Int>(), scaleOutPlanner.plan(listOf(full), listOf(service), 5).rent)
         assertEquals(
             1,
-            shopper
-                .plan(listOf(full), listOf(Shopper.Want(Samples.spec(cpus = 1.0), 3)), 5)
+            scaleOutPlanner
+                .plan(listOf(full), listOf(ScaleOutPlanner.Want(Samples.spec(cpus = 1.0), 3)), 5)
                 .rent.values
                 .sum(),
         )
@@ -117,13 +117,13 @@
             }
         val total = Resources(8.0, 0.0, 32.0)
         val rooms = listOf(true, false).map { spot -> Room(MachineId("spot-$spot"), "small", "north", spot, total, total, { false }, true) }
-        val shopper = Shopper(types, listOf("north")) { false }
+        val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { false }
         val spec = Samples.spec(cpus = 4.0)
         assertEquals(
             setOf(MachineId("spot-false")),
-            shopper.plan(rooms, listOf(Shopper.Want(spec, 4, ordinary = false, spare = true)), 5).unused,
+            scaleOutPlanner.plan(rooms, listOf(ScaleOutPlanner.Want(spec, 4, ordinary = false, spare = true)), 5).unused,
         )
-        assertEquals(emptySet<MachineId>(), shopper.plan(rooms, listOf(Shopper.Want(spec, 4, ordinary = false)), 5).unused)
+        assertEquals(emptySet<MachineId>(), scaleOutPlanner.plan(rooms, listOf(ScaleOutPlanner.Want(spec, 4, ordinary = false)), 5).unused)
     }
 
     /** Fuller machines of the zone that already holds its share once hid the other zone from a job that spreads. */
--- a/src/test/kotlin/mintpick/core/YieldingTest.kt
+++ b/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class YieldingTest {
+class PreemptionPolicyTest {
     private val config = PropTestConfig(seed = 41, iterations = 3_000)
     private val teams = Arb.element("red", "blue")
     private val claimants =
@@ -26,7 +26,7 @@
     fun `a funded task inside its window is never a victim`(): Unit =
         runBlocking {
             checkAll(config, occupants, claimants) { occupant, claimant ->
-                if (occupant.funded && !occupant.expired) assertFalse(Yielding.yields(occupant, claimant))
+                if (occupant.funded && !occupant.expired) assertFalse(PreemptionPolicy.yields(occupant, claimant))
             }
         }
 
@@ -35,7 +35,7 @@
         runBlocking {
             checkAll(config, occupants, claimants) { occupant, claimant ->
                 val allowed = claimant.priority < occupant.priority || claimant.team != occupant.team
-                if (!occupant.funded && claimant.funded && allowed) assertTrue(Yielding.yields(occupant, claimant))
+                if (!occupant.funded && claimant.funded && allowed) assertTrue(PreemptionPolicy.yields(occupant, claimant))
             }
         }
 
@@ -44,7 +44,7 @@
         runBlocking {
             checkAll(config, occupants, claimants) { occupant, claimant ->
                 val service = claimant.priority == Priority.PRODUCTION && occupant.priority != Priority.PRODUCTION
-                if (!claimant.funded && !service) assertFalse(Yielding.yields(occupant, claimant))
+                if (!claimant.funded && !service) assertFalse(PreemptionPolicy.yields(occupant, claimant))
             }
         }
 
@@ -52,7 +52,7 @@
     fun `expired funded work yields only from a team over share to one that is not`(): Unit =
         runBlocking {
             checkAll(config, occupants, claimants) { occupant, claimant ->
-                if (occupant.funded && Yielding.yields(occupant, claimant)) {
+                if (occupant.funded && PreemptionPolicy.yields(occupant, claimant)) {
                     assertTrue(occupant.expired && occupant.teamOverShare && !claimant.teamOverShare)
                 }
             }
--- a/src/test/kotlin/mintpick/engine/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/ControllerHealthTest.kt
@@ -26,16 +26,16 @@
         val state: SimState = SimState(),
     ) {
         private val context = EngineContext(Samples.settings(0), SplittableRandom(1))
-        private val link = StateLink(context, FormatGate(context))
-        val ownership = Ownership(context, link)
-        val health = ControllerHealth(context, link)
+        private val stateStore = StateStoreClient(context, FormatGate(context))
+        val shardClaims = ShardClaims(context, stateStore)
+        val health = ControllerHealth(context, stateStore)
         private val answers = ArrayList<Pair<Long, Outcome>>()
         var connected = true
         var servesLeasesOnly = false
         var now: Micros = 0
 
-        val replica get() = context.replica
-        val serving get() = link.serving
+        val cache get() = context.cache
+        val serving get() = stateStore.serving
 
         fun run(span: Micros) {
             val until = now + span
@@ -47,9 +47,9 @@
             context.begin(now, now)
             state.tick(now)
             answers.toList().also { answers.clear() }.forEach { (id, outcome) -> context.callDone(id, outcome) }
-            link.tick()
+            stateStore.tick()
             health.tick()
-            ownership.tick()
+            shardClaims.tick()
             for (effect in context.takeEffects()) {
                 if (effect !is Effect.Start || !connected) continue
                 val call = effect.call
@@ -221,16 +221,16 @@
         var old = 0
         while (controller.now < 3 * SECOND) {
             controller.step()
-            val claim = controller.replica.claims[0] ?: continue
+            val claim = controller.cache.claims[0] ?: continue
             assertEquals(NodeId("node-0"), claim.node)
             if (claim.lease == 999L) {
                 old++
-                assertFalse(controller.ownership.isMine(claim))
+                assertFalse(controller.shardClaims.isMine(claim))
             }
         }
         assertTrue(old > 0, "the old claim was seen")
-        val claim = controller.replica.claims.getValue(0)
-        assertTrue(controller.ownership.isMine(claim) && claim.version > 1, "$claim")
+        val claim = controller.cache.claims.getValue(0)
+        assertTrue(controller.shardClaims.isMine(claim) && claim.version > 1, "$claim")
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/engine/OwnerTest.kt
+++ b/src/test/kotlin/mintpick/engine/EventLoopTest.kt
@@ -16,18 +16,18 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /** The owner's thread with a clock of the test's own: each reading of it is worth [jumpUs] once the test says so. */
-class OwnerTest {
+class EventLoopTest {
     private val clockUs = AtomicLong(SECOND)
     private val jumpUs = AtomicLong(0)
     private val calls = AtomicInteger()
     private val answers = LinkedBlockingQueue<Answer>()
     private val engine = Engine(Samples.settings(), Operators(), SplittableRandom(1))
-    private val owner =
-        Owner(engine, { _: Long, _: Call -> calls.incrementAndGet() }, { clockUs.getAndAdd(jumpUs.get()) }, { clockUs.get() })
+    private val eventLoop =
+        EventLoop(engine, { _: Long, _: Call -> calls.incrementAndGet() }, { clockUs.getAndAdd(jumpUs.get()) }, { clockUs.get() })
 
     private fun poll(): Answer {
-        val thread = Thread { runCatching { owner.run() } }
-        owner.put(Event.Poll(JobId("req-000001")) { answers.put(it) })
+        val thread = Thread { runCatching { eventLoop.run() } }
+        eventLoop.put(Event.Poll(JobId("req-000001")) { answers.put(it) })
         thread.start()
         try {
             return checkNotNull(answers.poll(10, TimeUnit.SECONDS)) { "no answer" }
