--- a/src/test/kotlin/mintpick/engine/FleetPiecesTest.kt
+++ b/src/test/kotlin/mintpick/engine/MachineListLayoutTest.kt
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class FleetPiecesTest {
+class MachineListLayoutTest {
     private fun id(n: Int) = MachineId("host-%06d".format(n))
 
     private fun record(n: Int) = MachineRecord("type-${n % 2}", "zone-${n % 3}", n % 5 == 0, "10.1.${n / 250}.${n % 250}:9000")
 
-    private fun FleetPieces.all() = changed(Int.MAX_VALUE, Int.MAX_VALUE)
+    private fun MachineListLayout.all() = changed(Int.MAX_VALUE, Int.MAX_VALUE)
 
     @Test
     fun `any number of machines is listed once each in pieces that fit, and all can be marked`(): Unit =
@@ -32,11 +32,11 @@
                 Arb.enum<RecordFormat>(),
             ) { count, kilobytes, format ->
                 val limit = kilobytes * 1000.0 / if (format == RecordFormat.COMPACT) COMPACT_PART else 1
-                val pieces = FleetPieces(emptyMap(), limit, format)
+                val pieces = MachineListLayout(emptyMap(), limit, format)
                 (0 until count).forEach { pieces.add(id(it), record(it)) }
                 (0 until count).forEach { assertTrue(pieces.mark(id(it), Retiring.DRAIN), "$it of $count in $kilobytes") }
                 val written = pieces.all()
-                val listed = written.values.flatMap { RecordCodec.decodeFleet(it.value).entries }
+                val listed = written.values.flatMap { RecordCodec.decodeMachineList(it.value).entries }
                 assertEquals(
                     (0 until count).associate { id(it) to record(it).copy(retiring = Retiring.DRAIN) },
                     listed.associate { it.toPair() },
@@ -49,14 +49,14 @@
     @Test
     fun `machines stay in their pieces, gaps are used again and untouched pieces are not written`() {
         val before =
-            FleetPieces(
+            MachineListLayout(
                 emptyMap(),
                 16_000.0,
                 RecordFormat.VERBOSE,
             ).apply { (0 until 500).forEach { add(id(it), record(it)) } }.all()
         val tables = before.mapValues { it.value.machines }
         assertTrue(tables.size in 2..4, "${tables.size} pieces")
-        val pieces = FleetPieces(tables, 16_000.0, RecordFormat.VERBOSE)
+        val pieces = MachineListLayout(tables, 16_000.0, RecordFormat.VERBOSE)
         val second = tables.getValue(1).keys.take(20)
         second.forEach(pieces::remove)
         (1000 until 1020).forEach { pieces.add(id(it), record(it)) }
@@ -68,15 +68,20 @@
 
     @Test
     fun `pieces stored under larger limits are split in one transaction that leaves nobody out`() {
-        val before = FleetPieces(emptyMap(), 32_000.0, RecordFormat.VERBOSE).apply { (0 until 400).forEach { add(id(it), record(it)) } }
+        val before =
+            MachineListLayout(
+                emptyMap(),
+                32_000.0,
+                RecordFormat.VERBOSE,
+            ).apply { (0 until 400).forEach { add(id(it), record(it)) } }
         val tables = before.all().mapValues { it.value.machines }
         assertEquals(1, tables.size)
-        val pieces = FleetPieces(tables, 2_000.0, RecordFormat.COMPACT)
+        val pieces = MachineListLayout(tables, 2_000.0, RecordFormat.COMPACT)
         assertTrue(pieces.mark(id(7), Retiring.NOW))
         val written = pieces.changed(5, Int.MAX_VALUE)
         assertTrue(written.size in 2..5, "${written.size} pieces")
         written.values.forEach { assertTrue(it.value.toString().length <= 2_000, "${it.value.toString().length} B") }
-        val listed = written.values.flatMap { RecordCodec.decodeFleet(it.value).entries }
+        val listed = written.values.flatMap { RecordCodec.decodeMachineList(it.value).entries }
         assertEquals(400, listed.size)
         assertEquals(tables.getValue(0).keys, listed.mapTo(HashSet()) { it.key })
         assertEquals(listOf(id(7)), listed.filter { it.value.retiring == Retiring.NOW }.map { it.key })
@@ -85,14 +90,24 @@
 
     @Test
     fun `the next piece is among those that a write is guarded by`() {
-        assertEquals(setOf(0), FleetPieces(emptyMap(), 16_000.0, RecordFormat.VERBOSE).numbers)
-        val pieces = FleetPieces(emptyMap(), 16_000.0, RecordFormat.VERBOSE).apply { (0 until 500).forEach { add(id(it), record(it)) } }
+        assertEquals(setOf(0), MachineListLayout(emptyMap(), 16_000.0, RecordFormat.VERBOSE).numbers)
+        val pieces =
+            MachineListLayout(
+                emptyMap(),
+                16_000.0,
+                RecordFormat.VERBOSE,
+            ).apply { (0 until 500).forEach { add(id(it), record(it)) } }
         assertEquals((0..pieces.all().size).toSet(), pieces.numbers)
     }
 
     @Test
     fun `a write carries no more than a transaction holds, and the first piece whatever its size`() {
-        val pieces = FleetPieces(emptyMap(), 16_000.0, RecordFormat.VERBOSE).apply { (0 until 1000).forEach { add(id(it), record(it)) } }
+        val pieces =
+            MachineListLayout(
+                emptyMap(),
+                16_000.0,
+                RecordFormat.VERBOSE,
+            ).apply { (0 until 1000).forEach { add(id(it), record(it)) } }
         assertEquals(2, pieces.changed(2, Int.MAX_VALUE).size)
         assertEquals(1, pieces.changed(16, 100).size)
     }
--- a/src/test/kotlin/mintpick/sim/AddedRulesTest.kt
+++ b/src/test/kotlin/mintpick/sim/AddedRulesTest.kt
@@ -14,9 +14,9 @@
 class AddedRulesTest {
     private fun world(
         seed: Long,
-        luck: Luck = Luck(),
+        faultRates: FaultRates = FaultRates(),
         size: Size = Size(),
-    ) = World(seed, luck, size) { Samples.settings(it) }
+    ) = World(seed, faultRates, size) { Samples.settings(it) }
 
     private fun service(
         n: Int,
@@ -143,7 +143,7 @@
     fun `every job stays known and is served through drawn troubles and quick returns`() =
         (31L..38L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = world(seed, Luck(lost = 3, lostAnswer = 3, late = 4, copied = 60))
+                val world = world(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 60))
                 (1..30).forEach { n ->
                     val spec =
                         if (n % 4 == 0) {
--- a/src/test/kotlin/mintpick/sim/WorkersCutTest.kt
+++ b/src/test/kotlin/mintpick/sim/AgentPartitionTest.kt
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.TestFactory
 
 /** A controller that loses its workers alone, for longer than it takes to hand them over and back. */
-class WorkersCutTest {
+class AgentPartitionTest {
     /** All that tells it of the cut goes while the cut lasts: it must not take shards back, whose workers would lose their leases. */
     @TestFactory
     fun `a controller without workers takes none back before it reaches one`() =
         (61L..64L).map { seed -> DynamicTest.dynamicTest("seed $seed") { staysCutOff(seed) } }
 
     private fun staysCutOff(seed: Long) {
-        val world = World(seed, Luck(), Size(machines = 120)) { Samples.settings(it) }
+        val world = World(seed, FaultRates(), Size(machines = 120)) { Samples.settings(it) }
         (1..60).forEach { n -> world.after(n * SECOND / 8) { world.user(Samples.service(n, team = "blue", tasks = 3, cpus = 2.0), null) } }
         world.run(60 * SECOND)
         val cut = world.leader()
--- a/src/test/kotlin/mintpick/sim/BacklogTest.kt
+++ b/src/test/kotlin/mintpick/sim/BacklogTest.kt
@@ -12,7 +12,7 @@
     private fun world(
         seed: Long,
         writesPerSecond: Double,
-    ) = World(seed, Luck(), Size(machines = MACHINES)) { index ->
+    ) = World(seed, FaultRates(), Size(machines = MACHINES)) { index ->
         Settings.parse(Samples.toml(index).replace("write_rps = 40.0", "write_rps = $writesPerSecond"))
     }
 
--- a/src/test/kotlin/mintpick/sim/CancellationBoundTest.kt
+++ b/src/test/kotlin/mintpick/sim/CancellationBoundTest.kt
@@ -58,7 +58,7 @@
         outage: Micros = 55 * SECOND,
         meanwhile: Meeting.() -> Unit,
     ): Meeting {
-        val world = World(seed, Luck()) { Samples.settings(it) }
+        val world = World(seed, FaultRates()) { Samples.settings(it) }
         (1..JOBS).forEach { n -> world.after(n * SECOND) { world.user(service(n), null) } }
         world.run(60 * SECOND)
         val meeting = Meeting(world)
@@ -124,7 +124,7 @@
     fun `jobs are cancelled through the new leader while the old one has its workers alone`() =
         (11L..14L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = World(seed, Luck()) { Samples.settings(it) }
+                val world = World(seed, FaultRates()) { Samples.settings(it) }
                 (1..JOBS).forEach { n -> world.after(n * SECOND) { world.user(service(n), null) } }
                 world.run(60 * SECOND)
                 val meeting = Meeting(world)
@@ -160,7 +160,7 @@
     /** The bound costs nothing where all controllers are heard: what they answer accounts for all cancellations. */
     @Test
     fun `services go on through an outage that all controllers share`() {
-        val world = World(7, Luck()) { Samples.settings(it) }
+        val world = World(7, FaultRates()) { Samples.settings(it) }
         (1..JOBS).forEach { n -> world.after(n * SECOND) { world.user(service(n), null) } }
         world.run(60 * SECOND)
         val starts = world.rules.starts
--- a/src/test/kotlin/mintpick/sim/Conditions.kt
+++ b/src/test/kotlin/mintpick/sim/Conditions.kt
@@ -5,7 +5,7 @@
 import mintpick.wire.MachineType
 
 /** Odds of what goes wrong with any one message, in thousandths. */
-data class Luck(
+data class FaultRates(
     val lost: Int = 0,
     val lostAnswer: Int = 0,
     val late: Int = 0,
--- a/src/test/kotlin/mintpick/sim/DependentJobsTest.kt
+++ b/src/test/kotlin/mintpick/sim/DependentJobsTest.kt
@@ -31,8 +31,8 @@
 
     private fun world(
         seed: Long,
-        luck: Luck = Luck(),
-    ) = World(seed, luck, Size(machines = 20)) { settings(it) }.apply {
+        faultRates: FaultRates = FaultRates(),
+    ) = World(seed, faultRates, Size(machines = 20)) { settings(it) }.apply {
         state.limits = SimState.StateLimits(valueBytes = 2 * 1024, changes = 5, changesPerSecond = 18.0)
     }
 
@@ -52,7 +52,7 @@
     fun `pipelines of all shapes run in order through drawn troubles`() =
         (401L..408L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = world(seed, Luck(lost = 3, lostAnswer = 3, late = 4, copied = 20))
+                val world = world(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 20))
                 val pipelines = Pipelines(world, 1)
                 world.after(8 * SECOND) {
                     pipelines.submit(pipelines.chain(12))
--- a/src/test/kotlin/mintpick/sim/FaultyJobsTest.kt
+++ b/src/test/kotlin/mintpick/sim/FaultyJobsTest.kt
@@ -23,7 +23,7 @@
         brokenFromUs: Micros,
         cancelAfterUs: Micros?,
     ): World {
-        val world = World(seed, Luck(), Size(machines = 16)) { Samples.settings(it) }
+        val world = World(seed, FaultRates(), Size(machines = 16)) { Samples.settings(it) }
         world.failing = { _, task -> task.substringBeforeLast('/') in brokenIds }
         (1..30).forEach { n -> world.after(n * 3 * SECOND) { world.user(sound(n), null) } }
         broken.forEach { spec -> world.after(brokenFromUs) { world.user(spec, cancelAfterUs) } }
@@ -88,7 +88,7 @@
      */
     @Test
     fun `what has failed everywhere for a while runs once it no longer fails`() {
-        val world = World(76, Luck(), Size(machines = 30)) { Samples.settings(it) }
+        val world = World(76, FaultRates(), Size(machines = 30)) { Samples.settings(it) }
         world.failing = { _, task -> task < "req-000100" && world.now < 80 * SECOND }
         (1..8).forEach { n ->
             world.after(n * SECOND) { world.user(Samples.spec("req-%06d".format(n), "blue", 40, cpus = 2.0, estimateS = 8.0), null) }
@@ -109,7 +109,7 @@
     /** What fails everywhere keeps no machines: others would be idle, too, until its users cancel it. */
     @Test
     fun `no machines are kept for jobs with a mistake, whichever controller knows of it`() {
-        val world = World(74, Luck(), Size(machines = 200)) { Samples.settings(it) }
+        val world = World(74, FaultRates(), Size(machines = 200)) { Samples.settings(it) }
         world.failing = { _, task -> task.substringBeforeLast('/') in brokenIds }
         world.user(sound(1), null)
         world.run(30 * SECOND)
@@ -124,7 +124,7 @@
     /** A team at its limit gets no more, however many machines there are. */
     @Test
     fun `no machines are rented for what a team's limit holds back`() {
-        val world = World(75, Luck(), Size(machines = 200)) { Samples.settings(it) }
+        val world = World(75, FaultRates(), Size(machines = 200)) { Samples.settings(it) }
         (1..10).forEach { n -> world.user(Samples.spec("req-%06d".format(n), "red", tasks = 60, estimateS = 30.0), null) }
         world.run(60 * SECOND)
         assertTrue(world.cloud.rented < 12, "${world.cloud.rented} machines rented for 24 processors")
--- a/src/test/kotlin/mintpick/sim/GrowthTest.kt
+++ b/src/test/kotlin/mintpick/sim/GrowthTest.kt
@@ -19,7 +19,7 @@
         (52L..54L).map { seed -> DynamicTest.dynamicTest("seed $seed") { machinesGoAfterBacklog(seed) } }
 
     private fun machinesGoAfterBacklog(seed: Long) {
-        val world = World(seed, Luck(), Size(machines = 400, spot = 40)) { Samples.settings(it) }
+        val world = World(seed, FaultRates(), Size(machines = 400, spot = 40)) { Samples.settings(it) }
         (1..40).forEach { n ->
             world.user(Samples.spec("req-%06d".format(n), team = "blue", tasks = 40, cpus = 2.0, estimateS = 20.0), null)
         }
@@ -38,7 +38,7 @@
 
     @Test
     fun `a thousand machines and hundreds of jobs stay within the state service's limits`() {
-        val world = World(51, Luck(), Size(machines = 1000)) { Samples.settings(it) }
+        val world = World(51, FaultRates(), Size(machines = 1000)) { Samples.settings(it) }
         val services = 120
         val arrays = 240
         var tasks = 0
@@ -87,7 +87,7 @@
      * all controllers back within a moment. What that costs for each start must not grow with the fleet.
      */
     private fun worst(machines: Int): Counts {
-        val world = World(53, Luck(), Size(machines = machines)) { Samples.settings(it) }
+        val world = World(53, FaultRates(), Size(machines = machines)) { Samples.settings(it) }
         val services = machines / 20
         (1..services).forEach { n ->
             val spec =
--- a/src/test/kotlin/mintpick/sim/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/sim/GuardsTest.kt
@@ -26,7 +26,7 @@
     private fun world(
         seed: Long,
         size: Size = Size(),
-    ) = World(seed, Luck(), size) { Samples.settings(it) }
+    ) = World(seed, FaultRates(), size) { Samples.settings(it) }
 
     private fun service(
         n: Int,
--- a/src/test/kotlin/mintpick/sim/ReportMeetingsTest.kt
+++ b/src/test/kotlin/mintpick/sim/HeartbeatFaultCombinationsTest.kt
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.TestFactory
 
 /** Late, lost and repeated messages between workers and controllers, while controllers end and begin. */
-class ReportMeetingsTest {
+class HeartbeatFaultCombinationsTest {
     private fun world(
         seed: Long,
         size: Size = Size(),
-        luck: Luck = Luck(),
-    ) = World(seed, luck, size) { Samples.settings(it) }
+        faultRates: FaultRates = FaultRates(),
+    ) = World(seed, faultRates, size) { Samples.settings(it) }
 
     private fun id(n: Int): String = "req-%06d".format(n)
 
@@ -300,7 +300,7 @@
     fun `rules hold while messages are late and leaders change`() =
         (111L..116L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = world(seed, luck = Luck(copied = 150, lostAnswer = 4))
+                val world = world(seed, faultRates = FaultRates(copied = 150, lostAnswer = 4))
                 world.delays.lateCommands = 200
                 world.delays.keptForNext = 100
                 (1..6).forEach { n -> world.after(n * SECOND) { world.user(service(n), null) } }
--- a/src/test/kotlin/mintpick/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/mintpick/sim/LargeFleetTest.kt
@@ -43,8 +43,8 @@
     private fun World.listed(): List<MachineId> =
         state
             .keys()
-            .filter { Keys.parse(it.first) is Keys.Subject.Fleet }
-            .flatMap { RecordCodec.decodeFleet(WireJson.parseToJsonElement(it.second)).keys }
+            .filter { Keys.parse(it.first) is Keys.Subject.MachineList }
+            .flatMap { RecordCodec.decodeMachineList(WireJson.parseToJsonElement(it.second)).keys }
 
     /** Every machine that has been up for a while is in the records, each once, and no value is larger than allowed. */
     private fun World.checkListed(
@@ -65,7 +65,7 @@
         machines: Int,
         limits: Limits,
     ): Costs {
-        val world = World(91, Luck(), Size(machines = machines)) { settings(it, limits) }
+        val world = World(91, FaultRates(), Size(machines = machines)) { settings(it, limits) }
         world.state.limits = limits.refusing
         val services = machines / 20
         (1..services).forEach { n ->
--- a/src/test/kotlin/mintpick/sim/LeadershipMeetingsTest.kt
+++ b/src/test/kotlin/mintpick/sim/LeadershipFaultCombinationsTest.kt
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.TestFactory
 
 /** Two troubles that meet at changes of leader, zones and limits: each comes about, and leaves nothing stuck. */
-class LeadershipMeetingsTest {
+class LeadershipFaultCombinationsTest {
     private fun world(
         seed: Long,
-        luck: Luck = Luck(),
+        faultRates: FaultRates = FaultRates(),
         size: Size = Size(),
         settingsOf: (Int) -> Settings = { Samples.settings(it) },
-    ) = World(seed, luck, size, settingsOf)
+    ) = World(seed, faultRates, size, settingsOf)
 
     /** Both teams have a limit. */
     private fun limited(index: Int): Settings =
--- a/src/test/kotlin/mintpick/sim/ModelTest.kt
+++ b/src/test/kotlin/mintpick/sim/ModelTest.kt
@@ -15,8 +15,8 @@
 class ModelTest {
     private fun world(
         seed: Long,
-        luck: Luck,
-    ) = World(seed, luck) { Samples.settings(it) }
+        faultRates: FaultRates,
+    ) = World(seed, faultRates) { Samples.settings(it) }
 
     private fun World.jobs(
         count: Int,
@@ -44,7 +44,7 @@
 
     @Test
     fun `a quiet hour finishes every job`() {
-        val world = world(1, Luck())
+        val world = world(1, FaultRates())
         val jobs = world.jobs(20, 30 * SECOND)
         world.run(180 * SECOND)
         world.assertRulesHeld()
@@ -56,7 +56,7 @@
     fun `rules hold through drawn troubles`() =
         (1L..14L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = world(seed, Luck(lost = 4, lostAnswer = 4, late = 6))
+                val world = world(seed, FaultRates(lost = 4, lostAnswer = 4, late = 6))
                 world.jobs(24, 60 * SECOND)
                 repeat(
                     9,
@@ -70,7 +70,7 @@
 
     @Test
     fun `the largest job is accepted, runs in part, and is cancelled in time`() {
-        val world = world(5, Luck())
+        val world = world(5, FaultRates())
         val spec = Samples.spec("req-000001", team = "blue", tasks = 100_000, cpus = 1.0, estimateS = 5.0)
         world.after(SECOND) { world.user(spec, 60 * SECOND) }
         world.run(140 * SECOND)
@@ -82,7 +82,7 @@
     /** Machines beyond a cut once were returned one by one while their own zone's controller could serve them. */
     @Test
     fun `a cut between zones costs no machines that the other side serves`() {
-        val world = world(3, Luck())
+        val world = world(3, FaultRates())
         (1..4).forEach { n ->
             val spec =
                 Samples.service(n, spread = true)
@@ -109,7 +109,7 @@
      */
     @Test
     fun `a zone cut off for longer than a lease keeps its work`() {
-        val world = world(21, Luck())
+        val world = world(21, FaultRates())
         (1..5).forEach { n -> world.after(n * SECOND) { world.user(spread(n), null) } }
         world.run(60 * SECOND)
         val running = world.workers.keys.toSet()
@@ -127,7 +127,7 @@
     /** A leader that lost its workers alone once returned them, services first, and took back what others had adopted. */
     @Test
     fun `a controller cut off from its workers alone returns none of them`() {
-        val world = World(22, Luck(), Size(machines = 60)) { Samples.settings(it) }
+        val world = World(22, FaultRates(), Size(machines = 60)) { Samples.settings(it) }
         (1..24).forEach { n ->
             val spec =
                 Samples.service(n, team = "blue", tasks = 4, cpus = 4.0)
@@ -157,7 +157,7 @@
     fun `a zone cut off for long breaks no rule`() =
         (31L..42L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = world(seed, Luck())
+                val world = world(seed, FaultRates())
                 world.jobs(16, 40 * SECOND)
                 (41..45).forEach { n ->
                     world.after(n * SECOND / 4) {
--- a/src/test/kotlin/mintpick/sim/StandstillTest.kt
+++ b/src/test/kotlin/mintpick/sim/ProcessPauseTest.kt
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.TestFactory
 
 /** Controllers that stand still for seconds or a minute and then go on, their clocks having gone on meanwhile. */
-class StandstillTest {
+class ProcessPauseTest {
     @TestFactory
     fun `a controller that stands still costs no machine, no replica and no rule`() =
         listOf(3L, 9L, 20L, 45L, 70L).flatMap { span ->
@@ -19,7 +19,7 @@
         seed: Long,
         span: Long,
     ) {
-        val world = World(seed, Luck(), Size()) { Samples.settings(it) }
+        val world = World(seed, FaultRates(), Size()) { Samples.settings(it) }
         (1..6).forEach { n -> world.after(n * SECOND / 2) { world.user(Samples.service(n), null) } }
         (20..60).forEach { n ->
             val spec = Samples.spec("req-%06d".format(n), team = "blue", tasks = 4, cpus = 1.0, estimateS = 8.0)
@@ -28,7 +28,7 @@
         world.run(50 * SECOND)
         val machines = world.workers.keys.filterTo(HashSet()) { world.rules.attemptsOn(it).any { task -> task < "req-000007" } }
         assertTrue(machines.isNotEmpty())
-        world.leader().standStill(span * SECOND)
+        world.leader().pauseProcess(span * SECOND)
         world.run((50 + span) * SECOND)
         world.rules.calmSinceUs = world.now
         world.run((50 + span + 20) * SECOND)
--- a/src/test/kotlin/mintpick/sim/QuickBootTest.kt
+++ b/src/test/kotlin/mintpick/sim/QuickBootTest.kt
@@ -16,7 +16,7 @@
     fun `machines that are up at once finish their work while writes lag and the leader ends`() =
         (41L..46L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val world = World(seed, Luck(), Size(machines = 12, boots = SECOND..2 * SECOND)) { Samples.settings(it) }
+                val world = World(seed, FaultRates(), Size(machines = 12, boots = SECOND..2 * SECOND)) { Samples.settings(it) }
                 world.run(20 * SECOND)
                 val before = world.workers.keys.toSet()
                 world.stateTroubles.lost = 250
--- a/src/test/kotlin/mintpick/sim/DrawnDaysTest.kt
+++ b/src/test/kotlin/mintpick/sim/RandomFaultsTest.kt
@@ -14,7 +14,7 @@
  * run plays a few of them; `mvn test -Pexplore` plays hundreds, or as many as `-Dmintpick.days=` says, from the seed
  * `-Dmintpick.first=` on.
  */
-class DrawnDaysTest {
+class RandomFaultsTest {
     private class Day(
         val seed: Long,
         val troubles: List<String>,
@@ -49,7 +49,7 @@
         }
 
     private fun play(seed: Long): Day {
-        val world = World(seed, Luck(lost = 2, lostAnswer = 2, late = 3, copied = 30)) { Samples.settings(it) }
+        val world = World(seed, FaultRates(lost = 2, lostAnswer = 2, late = 3, copied = 30)) { Samples.settings(it) }
         (1..JOBS).forEach { n ->
             val cancelAfter = if (n % 4 == 0) world.random.nextLong(70 * SECOND) else null
             world.after(world.random.nextLong(60 * SECOND)) { world.user(job(world, n), cancelAfter) }
--- a/src/test/kotlin/mintpick/sim/Records.kt
+++ b/src/test/kotlin/mintpick/sim/Records.kt
@@ -5,7 +5,7 @@
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineId
-import mintpick.engine.Ownership
+import mintpick.engine.ShardClaims
 import mintpick.store.Keys
 import mintpick.store.RecordCodec
 import mintpick.wire.ClaimRecord
@@ -30,7 +30,7 @@
 ): Set<String> {
     val value = WireJson.parseToJsonElement(text)
     return when (val subject = Keys.parse(key)) {
-        is Keys.Subject.Fleet -> RecordCodec.decodeFleet(value).keys.mapTo(HashSet()) { it.text }
+        is Keys.Subject.MachineList -> RecordCodec.decodeMachineList(value).keys.mapTo(HashSet()) { it.text }
         is Keys.Subject.Job ->
             RecordCodec
                 .job(JobId(subject.id), RecordCodec.decodeJob(value), 1, emptyMap())
@@ -60,8 +60,8 @@
 internal fun World.listed(machine: String): MachineRecord? =
     state
         .keys()
-        .filter { Keys.parse(it.first) is Keys.Subject.Fleet }
-        .firstNotNullOfOrNull { RecordCodec.decodeFleet(WireJson.parseToJsonElement(it.second))[MachineId(machine)] }
+        .filter { Keys.parse(it.first) is Keys.Subject.MachineList }
+        .firstNotNullOfOrNull { RecordCodec.decodeMachineList(WireJson.parseToJsonElement(it.second))[MachineId(machine)] }
 
 /** Tasks that have completed while the records count none of their jobs as done. */
 internal fun World.unwritten(
@@ -83,10 +83,10 @@
 }
 
 /** As `Ownership.part` works it out. */
-private fun part(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), Ownership.PARTS)
+private fun part(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
 
 /** The shard of a machine, whose claim gives the right to command it. */
-internal fun World.shardOf(worker: SimWorker): Int = nodes[0].settings.zones.indexOf(worker.zone) * Ownership.PARTS + part(worker.id)
+internal fun World.shardOf(worker: SimWorker): Int = nodes[0].settings.zones.indexOf(worker.zone) * ShardClaims.PARTITIONS + part(worker.id)
 
 /** Shards with machines in them that [node] claims. */
 internal fun World.shardsInUse(node: World.Node): Int =
--- a/src/test/kotlin/mintpick/sim/BootTroubleTest.kt
+++ b/src/test/kotlin/mintpick/sim/SlowBootTest.kt
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test
 
 /** Machines that come up several times as late as their type says, or never. */
-class BootTroubleTest {
+class SlowBootTest {
     private fun world(seed: Long): World {
-        val world = World(seed, Luck(), Size(machines = 400, boots = 3 * SECOND..6 * SECOND)) { Samples.settings(it) }
+        val world = World(seed, FaultRates(), Size(machines = 400, boots = 3 * SECOND..6 * SECOND)) { Samples.settings(it) }
         (1..24).forEach { n ->
             world.after(2 * SECOND + n) { world.user(Samples.spec("req-%06d".format(n), "blue", 10, cpus = 2.0, estimateS = 30.0), null) }
         }
--- a/src/test/kotlin/mintpick/sim/StateMeetingsTest.kt
+++ b/src/test/kotlin/mintpick/sim/StateStoreFaultCombinationsTest.kt
@@ -11,7 +11,7 @@
 import mintpick.engine.Effect
 import mintpick.engine.EngineContext
 import mintpick.engine.FormatGate
-import mintpick.engine.StateLink
+import mintpick.engine.StateStoreClient
 import mintpick.engine.Write
 import mintpick.net.Call
 import mintpick.net.Outcome
@@ -32,13 +32,13 @@
 import java.util.SplittableRandom
 
 /** Troubles of the state service that meet others: what is carried out late or unanswered, slow, or refused to one alone. */
-class StateMeetingsTest {
+class StateStoreFaultCombinationsTest {
     /** One controller's link to the state service, whose answers may be held up one by one. */
     private class Link(
         val state: SimState = SimState(),
     ) {
         private val context = EngineContext(Samples.settings(0), SplittableRandom(1))
-        val link = StateLink(context, FormatGate(context))
+        val link = StateStoreClient(context, FormatGate(context))
         private val arrived = ArrayList<Pair<Long, Outcome>>()
         val held = ArrayList<Pair<Call, () -> Unit>>()
 
@@ -49,7 +49,7 @@
         var loses: (Call) -> Boolean = { false }
         var connected = true
         private var now: Micros = 0
-        val replica get() = context.replica
+        val cache get() = context.cache
 
         fun run(span: Micros) {
             val until = now + span
@@ -129,7 +129,7 @@
         run(SECOND / 2)
     }
 
-    private fun Link.knowsAll(jobs: Int) = (1..jobs).all { replica.knows(JobId("req-%06d".format(it))) }
+    private fun Link.knowsAll(jobs: Int) = (1..jobs).all { cache.knows(JobId("req-%06d".format(it))) }
 
     /** A question that waited for it was answered from an empty copy of the records: 404 for a job that is known. */
     @Test
@@ -220,7 +220,7 @@
         assertTrue(controller.link.serving)
         controller.release("/multi")
         controller.run(SECOND)
-        assertEquals(null, controller.replica.claims[3])
+        assertEquals(null, controller.cache.claims[3])
     }
 
     /** A team's reservation was newer than its placements, which the watch had yet to bring: its guard held nothing up. */
@@ -233,7 +233,7 @@
         controller.state.write(Change(put = Keys.job("req-000001"), value = RecordCodec.finalJson(StoredStage.DONE, 1)))
         controller.release("/keys")
         controller.run(2 * SECOND)
-        val isNew = { controller.replica.final(JobId("req-000001")) != null }
+        val isNew = { controller.cache.final(JobId("req-000001")) != null }
         assertTrue(isNew() || !controller.link.serving)
         controller.holds = { false }
         controller.release("/follow")
@@ -253,7 +253,7 @@
         controller.state.order = { it.reversed() }
         controller.connected = true
         controller.run(6 * SECOND)
-        assertEquals(1, controller.replica.job(JobId("req-000002"))?.placed)
+        assertEquals(1, controller.cache.job(JobId("req-000002"))?.placed)
     }
 
     /** A record that takes many pages was read from its beginning whenever one answer was lost. */
@@ -308,7 +308,7 @@
     fun `writes of one kind are carried out without an answer`() =
         kinds.flatMap { (kind, picks) -> listOf(true, false).map { atOnce -> Triple(kind, picks, atOnce) } }.map { (kind, picks, atOnce) ->
             DynamicTest.dynamicTest("$kind ${if (atOnce) "at once" else "late"}") {
-                val world = World(115, Luck(), Size(machines = 20)) { Samples.settings(it) }
+                val world = World(115, FaultRates(), Size(machines = 20)) { Samples.settings(it) }
                 val users = UserTroubles(world)
                 (1..JOBS).forEach { n ->
                     val spec = Samples.spec("req-%06d".format(n), if (n % 2 == 0) "red" else "blue", 1 + n % 4, cpus = 1.0, estimateS = 3.0)
@@ -332,6 +332,6 @@
         const val JOBS = 60
         val SHARD = Keys.shard(0).dropLast(1)
         val BORROW = Keys.borrow("")
-        val FLEET = Keys.fleet(0).dropLast(1)
+        val FLEET = Keys.machineList(0).dropLast(1)
     }
 }
--- a/src/test/kotlin/mintpick/sim/Troubles.kt
+++ b/src/test/kotlin/mintpick/sim/Troubles.kt
@@ -33,7 +33,7 @@
         Trouble("controller is back within a moment") { anyNode().crash(random.nextLong(SECOND / 2)) },
         Trouble("all controllers end") { span -> nodes.forEach { it.crash(SECOND + random.nextLong(span / 4)) } },
         Trouble("all controllers are back within a moment") { nodes.forEach { it.crash(random.nextLong(SECOND)) } },
-        Trouble("controller stands still") { span -> anyNode().standStill(span) },
+        Trouble("controller stands still") { span -> anyNode().pauseProcess(span) },
         Trouble("controllers end one after the other") { span ->
             nodes.forEachIndexed { i, node -> after(i * span / 3) { node.crash(SECOND) } }
         },
--- a/src/test/kotlin/mintpick/sim/RequeueDoubtTest.kt
+++ b/src/test/kotlin/mintpick/sim/UncertainRequeueTest.kt
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.TestFactory
 
 /** A requeue without an answer meets a machine that comes back before the requeue is carried out. */
-class RequeueDoubtTest {
+class UncertainRequeueTest {
     /**
      * One controller is alone in its zone and hears no other, so that it gives up no silent machine before its lease has
      * lapsed. Machines there hang until the requeue of what they ran has been sent. They hang once more before it is
@@ -19,7 +19,7 @@
     private class Doubt(
         seed: Long,
     ) {
-        val world = World(seed, Luck(), Size(machines = 10)) { Samples.settings(it) }
+        val world = World(seed, FaultRates(), Size(machines = 10)) { Samples.settings(it) }
         private val alone = world.nodes.single { it.settings.zone == ZONE }
         private val lostFor = HashMap<Transaction, List<SimWorker>>()
         private var hung = emptyList<SimWorker>()
--- a/src/test/kotlin/mintpick/sim/GuestsTest.kt
+++ b/src/test/kotlin/mintpick/sim/UnguaranteedTeamsTest.kt
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test
 
 /** What a team without a guarantee brings: thousands of jobs of one task, and arrays of tens of thousands. */
-class GuestsTest {
+class UnguaranteedTeamsTest {
     private fun world(seed: Long): World =
-        World(seed, Luck(), Size(machines = 60)) { index ->
+        World(seed, FaultRates(), Size(machines = 60)) { index ->
             Settings.parse(Samples.toml(index).replace("write_rps = 40.0", "write_rps = 25.0"))
         }
 
@@ -70,7 +70,7 @@
     /** `Scheduling.keepsToSpot`: spare-time work filled the ordinary machines of a peak, so that none of them was ever returned. */
     @Test
     fun `spare-time work keeps no ordinary machines`() {
-        val world = World(98, Luck(), Size(machines = 60, spot = 6)) { Samples.settings(it) }
+        val world = World(98, FaultRates(), Size(machines = 60, spot = 6)) { Samples.settings(it) }
         (1..4).forEach { n -> world.user(guest(n, tasks = 800, estimateS = 40.0), null) }
         (1..10).forEach { n -> world.user(Samples.spec("req-%06d".format(7000 + n), "blue", 20, cpus = 2.0, estimateS = 15.0), null) }
         world.run(25 * SECOND)
@@ -87,7 +87,7 @@
 
     @Test
     fun `where there are no spot machines spare-time work is served all the same`() {
-        val world = World(99, Luck(), Size(machines = 20, spot = 0)) { Samples.settings(it) }
+        val world = World(99, FaultRates(), Size(machines = 20, spot = 0)) { Samples.settings(it) }
         (1..3).forEach { n -> world.user(guest(n, tasks = 30, estimateS = 40.0), null) }
         world.run(240 * SECOND)
         assertEquals(emptyList<Int>(), (1..3).filter { !world.rules.isFinal("req-%06d".format(it)) }, "spare-time work waits")
--- a/src/test/kotlin/mintpick/sim/UserMeetingsTest.kt
+++ b/src/test/kotlin/mintpick/sim/UserRequestFaultCombinationsTest.kt
@@ -10,7 +10,7 @@
 import mintpick.engine.Event
 import mintpick.engine.FormatGate
 import mintpick.engine.ReplyTo
-import mintpick.engine.StateLink
+import mintpick.engine.StateStoreClient
 import mintpick.engine.UserRequests
 import mintpick.net.Answer
 import mintpick.net.Call
@@ -31,11 +31,11 @@
 import java.util.SplittableRandom
 
 /** What users ask, in the moments in which something else happens to their jobs, and what they are told. */
-class UserMeetingsTest {
+class UserRequestFaultCombinationsTest {
     private fun world(
         seed: Long,
         size: Size = Size(),
-    ) = World(seed, Luck(), size) { Samples.settings(it) }
+    ) = World(seed, FaultRates(), size) { Samples.settings(it) }
 
     private fun id(n: Int) = "req-%06d".format(n)
 
@@ -246,14 +246,14 @@
     /** A controller's link to the state service, whose calls the test answers in the order it likes. */
     private class ScriptedLink {
         val context = EngineContext(Samples.settings(0), SplittableRandom(1))
-        val link = StateLink(context, FormatGate(context))
+        val stateStore = StateStoreClient(context, FormatGate(context))
         private val open = LinkedHashMap<Long, Call>()
         private var now = 0L
 
         private fun step() {
             now += 200 * MILLI
             context.begin(now, now)
-            link.tick()
+            stateStore.tick()
             context.takeEffects().filterIsInstance<Effect.Start>().forEach { open[it.id] = it.call }
         }
 
@@ -288,7 +288,7 @@
             answer("/leases", 200, """{"tenure":7}""")
             answer("/multi", 200, """{"ledger_rev":10}""")
             answer("wait_ms=0", 200, NOTHING_NEW)
-            assertTrue(link.serving)
+            assertTrue(stateStore.serving)
         }
     }
 
@@ -301,16 +301,16 @@
         for ((status, body) in listOf(410 to "{}", 200 to NOTHING_NEW)) {
             val script = ScriptedLink().apply { serve() }
             val caughtUp = ArrayList<Boolean>()
-            script.link.caughtUp { caughtUp += it }
+            script.stateStore.caughtUp { caughtUp += it }
             script.answer("wait_ms=10000", 410, "{}")
             script.page(1, more = true)
             assertTrue(script.isOpen("wait_ms=0") && caughtUp.isEmpty(), "the catch-up is under way")
             script.answer("wait_ms=0", status, body)
             assertEquals(listOf(false), caughtUp, "answered with $status")
             script.page(2, more = false)
-            assertTrue((1..2).all { script.context.replica.knows(JobId("req-$it")) }, "answered with $status")
+            assertTrue((1..2).all { script.context.cache.knows(JobId("req-$it")) }, "answered with $status")
             script.answer("wait_ms=0", 200, NOTHING_NEW)
-            assertTrue(script.link.serving, "answered with $status")
+            assertTrue(script.stateStore.serving, "answered with $status")
             assertEquals(listOf(false), caughtUp, "answered with $status")
         }
     }
@@ -323,19 +323,19 @@
         script.answer("/leases", 200, """{"tenure":7}""")
         script.answer("wait_ms=10000", 410, "{}")
         script.answer("/multi", 200, """{"ledger_rev":10}""")
-        assertFalse(script.link.serving)
+        assertFalse(script.stateStore.serving)
         script.page(1, more = false)
-        assertTrue(script.link.serving)
+        assertTrue(script.stateStore.serving)
     }
 
     /** The late answer to the write of a submission once made its user hear `queued` of a job known here as cancelled. */
     @Test
     fun `a submission whose write is answered late is told what has become of the job`() {
         val script = ScriptedLink().apply { serve() }
-        val userRequests = UserRequests(script.context, script.link, FormatGate(script.context))
+        val userRequests = UserRequests(script.context, script.stateStore, FormatGate(script.context))
         val answers = ArrayList<Answer>()
         userRequests.submissions[JobId(id(5))] = UserRequests.Pending(batch(5), 0).apply { replies += ReplyTo { answers += it } }
-        script.context.replica.apply(Keys.job(id(5)), RecordCodec.finalJson(StoredStage.CANCELLED, 1), 20)
+        script.context.cache.apply(Keys.job(id(5)), RecordCodec.finalJson(StoredStage.CANCELLED, 1), 20)
         userRequests.submitted(JobId(id(5)))
         script.context
             .takeEffects()
--- a/src/test/kotlin/mintpick/sim/World.kt
+++ b/src/test/kotlin/mintpick/sim/World.kt
@@ -28,7 +28,7 @@
 /** Three engines, a state service, a cloud, workers and users in one virtual time, with troubles at will. */
 class World(
     seed: Long,
-    private val luck: Luck,
+    private val faultRates: FaultRates,
     private val size: Size = Size(),
     private val settingsOf: (Int) -> Settings,
 ) : TaskWatcher {
@@ -73,11 +73,11 @@
         }
 
         /** Stands still, while its clocks go on and what comes for it is kept. */
-        fun standStill(spanUs: Micros) {
-            standsStillUntilUs = now + spanUs
+        fun pauseProcess(spanUs: Micros) {
+            pausedUntilUs = now + spanUs
         }
 
-        private var standsStillUntilUs: Micros = 0
+        private var pausedUntilUs: Micros = 0
 
         fun crash(downUs: Micros) {
             engine = null
@@ -86,7 +86,7 @@
 
         private fun stepLoop(mine: Int) {
             if (life != mine || engine == null) return
-            if (now >= standsStillUntilUs) step()
+            if (now >= pausedUntilUs) step()
             after(STEP) { stepLoop(mine) }
         }
 
@@ -218,14 +218,14 @@
                 (from.cutFromState && call.target is Target.State) ||
                 (call.target is Target.Peer && peersCut(from, call.target)) ||
                 (from.cutFromWorkers && call.target is Target.Worker) ||
-                hit(luck.lost)
+                hit(faultRates.lost)
         if (cut) return
         // A packet that is held back arrives long after the sender has given up.
-        val usual = if (hit(luck.late)) 2 * SECOND + random.nextLong(20 * SECOND) else delay()
+        val usual = if (hit(faultRates.late)) 2 * SECOND + random.nextLong(20 * SECOND) else delay()
         val travel = (delays.travelUs(from, call) ?: usual) + linkDelay(from, call)
         val reply: (Int, ByteArray) -> Unit = { status, body ->
             delays.arrived(call, status)
-            if (!hit(luck.lostAnswer)) after(delay() + slowAnswer(from, call)) { end(Outcome.Answered(status, body)) }
+            if (!hit(faultRates.lostAnswer)) after(delay() + slowAnswer(from, call)) { end(Outcome.Answered(status, body)) }
         }
         val arrival: ((Int, ByteArray) -> Unit) -> Unit = { answered -> arrive(call, answered) { end(Outcome.NotSent) } }
         after(travel) { if (call.target is Target.State) stateTroubles.pass(from, call, reply, arrival) else arrival(reply) }
@@ -339,7 +339,7 @@
         val message = worker.report(now)
         val sent = now
         delays.reported(message)
-        if (hit(luck.copied)) after(2 * SECOND + random.nextLong(58 * SECOND)) { replay(message, nodes[random.nextInt(NODES)]) }
+        if (hit(faultRates.copied)) after(2 * SECOND + random.nextLong(58 * SECOND)) { replay(message, nodes[random.nextInt(NODES)]) }
         var open = true
         val next: (Int, Micros) -> Unit = { to, pause ->
             if (open) {
@@ -351,11 +351,11 @@
         if (worker.mute ||
             node.cutFromWorkers ||
             ((zonesCut || zoneOut != null) && node.settings.zone != worker.zone) ||
-            hit(luck.lost)
+            hit(faultRates.lost)
         ) {
             return
         }
-        val travel = if (hit(luck.late)) 5 * SECOND + random.nextLong(10 * SECOND) else delay()
+        val travel = if (hit(faultRates.late)) 5 * SECOND + random.nextLong(10 * SECOND) else delay()
         after(travel) {
             val delivered =
                 node.deliver(
@@ -364,7 +364,7 @@
                         ReplyTo { answer ->
                             if (worker.deaf) {
                                 miss(worker, answer)
-                            } else if (!hit(luck.lostAnswer)) {
+                            } else if (!hit(faultRates.lostAnswer)) {
                                 after(delay()) {
                                     if (open && workers[worker.id] === worker && now >= worker.hangingUntilUs) {
                                         open = false
--- a/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
+++ b/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
@@ -68,7 +68,7 @@
             checkAll(config, Arb.byteArray(Arb.int(0..60), Arb.byte())) { bytes ->
                 val text = Base64.getEncoder().withoutPadding().encodeToString(bytes)
                 runCatching { CompactChunk.decode(text, 64, 1) }.onFailure { expect(it).also { refused += 1 } }
-                runCatching { CompactFleet.decode(text) }.onFailure { expect(it).also { refused += 1 } }
+                runCatching { CompactMachineList.decode(text) }.onFailure { expect(it).also { refused += 1 } }
             }
             assertTrue(refused.size > 1_000, "${refused.size} refused")
         }
@@ -87,8 +87,8 @@
                             MachineRecord("type-${n % 3}", "zone-${n % 2}", n % 5 == 0, "10.1.${n / 250}.${n % 250}:${9000 + n % 2}")
                         MachineId("host-%06d".format(n)) to record.copy(retiring = mintpick.wire.Retiring.entries[n % 3])
                     }
-                val value = RecordCodec.fleetJson(machines, RecordFormat.COMPACT)
-                assertEquals(machines, RecordCodec.decodeFleet(value))
+                val value = RecordCodec.machineListJson(machines, RecordFormat.COMPACT)
+                assertEquals(machines, RecordCodec.decodeMachineList(value))
             }
         }
 }
--- a/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
@@ -7,7 +7,7 @@
 import mintpick.core.SECOND
 import mintpick.engine.Engine
 import mintpick.sim.ALL_TROUBLES
-import mintpick.sim.Luck
+import mintpick.sim.FaultRates
 import mintpick.sim.Pipelines
 import mintpick.sim.SimState
 import mintpick.sim.Size
@@ -59,8 +59,8 @@
 
     private fun roll(
         seed: Long,
-        luck: Luck = Luck(),
-    ) = Roll(World(seed, luck, Size(machines = 20)) { Settings.parse(toml(it)) }, ::toml)
+        faultRates: FaultRates = FaultRates(),
+    ) = Roll(World(seed, faultRates, Size(machines = 20)) { Settings.parse(toml(it)) }, ::toml)
 
     /** Jobs from before the upgrade, some of them larger than one record of the lowered limits holds. */
     private fun World.beforehand() =
@@ -79,7 +79,7 @@
     fun `a rolling upgrade keeps every rule, and pipelines run under the lowered limits`() =
         (301L..306L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val roll = roll(seed, Luck(lost = 2, lostAnswer = 2, late = 3))
+                val roll = roll(seed, FaultRates(lost = 2, lostAnswer = 2, late = 3))
                 val world = roll.world
                 val earlier = world.beforehand()
                 // One that dies before its turn comes back old.
@@ -121,7 +121,7 @@
         when (Keys.parse(key)) {
             is Keys.Subject.Job -> "wire.JobRecord"
             is Keys.Subject.Chunk -> "wire.ChunkRecord"
-            is Keys.Subject.Fleet -> "wire.FleetRecord"
+            is Keys.Subject.MachineList -> "wire.FleetRecord"
             is Keys.Subject.Node -> "wire.NodeRecord"
             is Keys.Subject.Usage -> "wire.UsageRecord"
             is Keys.Subject.Team -> "wire.ReservationRecord"
