--- a/src/main/kotlin/mintpick/cli/Main.kt
+++ b/src/main/kotlin/mintpick/cli/Main.kt
@@ -6,8 +6,8 @@
 import mintpick.config.Settings
 import mintpick.core.MILLI
 import mintpick.engine.Engine
-import mintpick.engine.Event
 import mintpick.engine.EventLoop
+import mintpick.engine.runtime.Event
 import mintpick.net.HttpCaller
 import mintpick.net.JdkServer
 import mintpick.users.Routes
--- a/src/main/kotlin/mintpick/engine/EventLoop.kt
+++ b/src/main/kotlin/mintpick/engine/EventLoop.kt
@@ -2,6 +2,8 @@
 
 import mintpick.core.MILLI
 import mintpick.core.Micros
+import mintpick.engine.runtime.Effect
+import mintpick.engine.runtime.Event
 import mintpick.net.Call
 import mintpick.net.Outcome
 import mintpick.net.errorAnswer
--- a/src/main/kotlin/mintpick/engine/AgentRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.agents
 
 import mintpick.core.AttemptId
 import mintpick.core.MILLI
@@ -6,6 +6,12 @@
 import mintpick.core.MachineView
 import mintpick.core.Micros
 import mintpick.core.SECOND
+import mintpick.engine.cache.Claim
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.ReplyTo
+import mintpick.engine.state.StateStoreClient
 import mintpick.net.Answer
 import mintpick.net.errorAnswer
 import mintpick.wire.Command
--- a/src/main/kotlin/mintpick/engine/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.agents
 
 import mintpick.core.AttemptId
 import mintpick.core.JobId
@@ -6,6 +6,9 @@
 import mintpick.core.SECOND
 import mintpick.core.TaskId
 import mintpick.core.isService
+import mintpick.engine.cache.Claim
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.runtime.EngineContext
 import mintpick.wire.Command
 import mintpick.wire.Retiring
 import mintpick.wire.StoredStage
--- a/src/main/kotlin/mintpick/engine/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
@@ -1,9 +1,17 @@
-package mintpick.engine
+package mintpick.engine.agents
 
 import mintpick.core.MILLI
 import mintpick.core.MachineId
 import mintpick.core.Micros
 import mintpick.core.SECOND
+import mintpick.engine.cache.KnownMachine
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.TokenBucket
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.MachineListLayout
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.store.TransactionResult
 import mintpick.wire.Guard
--- a/src/main/kotlin/mintpick/engine/Reconciler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.agents
 
 import mintpick.core.AttemptId
 import mintpick.core.FailureTracker
@@ -15,6 +15,9 @@
 import mintpick.core.TaskId
 import mintpick.core.demand
 import mintpick.core.isService
+import mintpick.engine.jobs.JobUpdate
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
 import mintpick.wire.ExitCause
 import mintpick.wire.StoredStage
 import mintpick.wire.TaskState
--- a/src/main/kotlin/mintpick/engine/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.cache
 
 import it.unimi.dsi.fastutil.longs.Long2IntOpenHashMap
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap
--- a/src/main/kotlin/mintpick/engine/CapacityPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.capacity
 
 import mintpick.config.Operators
 import mintpick.core.Job
@@ -13,6 +13,16 @@
 import mintpick.core.demand
 import mintpick.core.isGang
 import mintpick.core.isService
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.agents.MachineRegistry
+import mintpick.engine.agents.Reconciler
+import mintpick.engine.cache.KnownMachine
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.scheduling.Scheduler
+import mintpick.engine.state.StateStoreClient
 import mintpick.wire.JobSpec
 import mintpick.wire.Retiring
 import mintpick.wire.StoredStage
--- a/src/main/kotlin/mintpick/engine/CloudInventory.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.capacity
 
 import mintpick.cloud.CloudProtocol
 import mintpick.core.BootKind
@@ -8,6 +8,16 @@
 import mintpick.core.Micros
 import mintpick.core.Offer
 import mintpick.core.SECOND
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.Reconciler
+import mintpick.engine.cache.LocalCache
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.TokenBucket
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.store.RecordFormat
 import mintpick.wire.ListedMachine
--- a/src/main/kotlin/mintpick/engine/MachineMonitor.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/MachineMonitor.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.capacity
 
 import mintpick.core.AttemptId
 import mintpick.core.MILLI
@@ -6,6 +6,14 @@
 import mintpick.core.Micros
 import mintpick.core.Resources
 import mintpick.core.SECOND
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.agents.MachineRegistry
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.scheduling.Scheduler
+import mintpick.engine.state.StateStoreClient
 import mintpick.wire.Retiring
 import mintpick.wire.TaskState
 
--- a/src/main/kotlin/mintpick/engine/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdate.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.AttemptId
 import mintpick.core.ChunkEdit
--- a/src/main/kotlin/mintpick/engine/JobUpdates.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdates.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.Job
 import mintpick.core.JobId
@@ -7,6 +7,12 @@
 import mintpick.core.Resources
 import mintpick.core.SECOND
 import mintpick.core.demand
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.store.RecordCodec
 import mintpick.store.TransactionResult
--- a/src/main/kotlin/mintpick/engine/JobUrgency.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.Job
 import mintpick.core.JobId
@@ -8,6 +8,7 @@
 import mintpick.dependencies.CriticalPaths
 import mintpick.dependencies.JobDemand
 import mintpick.dependencies.Urgency
+import mintpick.engine.runtime.EngineContext
 
 /** How urgent jobs are by their own deadlines and priorities and by those of the jobs that wait for them. */
 class JobUrgency(
--- a/src/main/kotlin/mintpick/engine/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
@@ -1,8 +1,12 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.JobId
 import mintpick.core.Micros
 import mintpick.core.SECOND
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.wire.Guard
 
--- a/src/main/kotlin/mintpick/engine/SpecStorage.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
@@ -1,6 +1,9 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.Job
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.store.RecordFormat
 import mintpick.store.SpecPieces
--- a/src/main/kotlin/mintpick/engine/TransactionBatch.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionBatch.kt
@@ -1,10 +1,11 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.AttemptId
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineId
 import mintpick.core.Resources
+import mintpick.engine.state.Write
 import mintpick.wire.Guard
 
 /** Writes of one job that must be carried out together, with what must hold for them. */
--- a/src/main/kotlin/mintpick/engine/UserRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/UserRequests.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.jobs
 
 import mintpick.core.JobId
 import mintpick.core.MILLI
@@ -10,6 +10,10 @@
 import mintpick.core.isGang
 import mintpick.core.isService
 import mintpick.core.predecessorIds
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.ReplyTo
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
 import mintpick.net.Answer
 import mintpick.net.errorAnswer
 import mintpick.store.SpecPieces
--- a/src/main/kotlin/mintpick/engine/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.membership
 
 import mintpick.config.Peer
 import mintpick.core.JobId
@@ -6,6 +6,8 @@
 import mintpick.core.Micros
 import mintpick.core.NodeId
 import mintpick.core.SECOND
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
 import mintpick.wire.PeerHint
 
 /** Whether this controller should act, judged from its own contact with the state service and its peers' hints. */
--- a/src/main/kotlin/mintpick/engine/ShardClaims.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.membership
 
 import com.google.common.hash.Hashing
 import kotlinx.serialization.json.JsonElement
@@ -8,6 +8,10 @@
 import mintpick.core.Micros
 import mintpick.core.NodeId
 import mintpick.core.SECOND
+import mintpick.engine.cache.Claim
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.store.TransactionResult
 import mintpick.wire.ClaimRecord
--- a/src/main/kotlin/mintpick/engine/EngineContext.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
@@ -1,8 +1,9 @@
-package mintpick.engine
+package mintpick.engine.runtime
 
 import mintpick.config.Settings
 import mintpick.core.Micros
 import mintpick.core.NodeId
+import mintpick.engine.cache.LocalCache
 import mintpick.net.Answer
 import mintpick.net.Call
 import mintpick.net.Outcome
--- a/src/main/kotlin/mintpick/engine/Events.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/Events.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.runtime
 
 import mintpick.core.JobId
 import mintpick.net.Answer
--- a/src/main/kotlin/mintpick/engine/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.scheduling
 
 import mintpick.config.Operators
 import mintpick.core.AttemptId
@@ -17,6 +17,10 @@
 import mintpick.core.demand
 import mintpick.core.isProduction
 import mintpick.core.zoneCap
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
 import mintpick.wire.StoredStage
 import org.slf4j.LoggerFactory
 
--- a/src/main/kotlin/mintpick/engine/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.scheduling
 
 import mintpick.config.Operators
 import mintpick.core.FailureTracker
@@ -17,6 +17,17 @@
 import mintpick.core.isGang
 import mintpick.core.isProduction
 import mintpick.core.isService
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.agents.Reconciler
+import mintpick.engine.cache.Claim
+import mintpick.engine.cache.KnownMachine
+import mintpick.engine.jobs.JobUpdate
+import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUrgency
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
 import mintpick.wire.Priority
 import mintpick.wire.Retiring
 import mintpick.wire.StoredStage
--- a/src/main/kotlin/mintpick/engine/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.scheduling
 
 import mintpick.config.Operators
 import mintpick.core.Contract
@@ -13,6 +13,12 @@
 import mintpick.core.UsageWindow
 import mintpick.core.capacity
 import mintpick.core.demand
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.UsageLayout
+import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.store.RecordFormat
 import mintpick.wire.StoredStage
--- a/src/main/kotlin/mintpick/engine/FormatGate.kt
+++ b/src/main/kotlin/mintpick/engine/state/FormatGate.kt
@@ -1,6 +1,7 @@
-package mintpick.engine
+package mintpick.engine.state
 
 import mintpick.core.NodeId
+import mintpick.engine.runtime.EngineContext
 import mintpick.store.Keys
 import mintpick.store.RecordFormat
 import mintpick.wire.FormatRecord
--- a/src/main/kotlin/mintpick/engine/MachineListLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.state
 
 import kotlinx.serialization.json.JsonElement
 import mintpick.core.MachineId
--- a/src/main/kotlin/mintpick/engine/StateStoreClient.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
@@ -1,9 +1,11 @@
-package mintpick.engine
+package mintpick.engine.state
 
 import kotlinx.serialization.json.JsonElement
 import mintpick.core.MILLI
 import mintpick.core.Micros
 import mintpick.core.SECOND
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.TokenBucket
 import mintpick.store.Keys
 import mintpick.store.StateProtocol
 import mintpick.store.StateResult
--- a/src/main/kotlin/mintpick/engine/UsageLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.state
 
 /**
  * Which record holds which part of a controller's use by team: each piece holds some time slots of some teams, as many as
--- a/src/main/kotlin/mintpick/users/Routes.kt
+++ b/src/main/kotlin/mintpick/users/Routes.kt
@@ -4,8 +4,8 @@
 import mintpick.core.JobId
 import mintpick.core.Micros
 import mintpick.core.SECOND
-import mintpick.engine.Event
-import mintpick.engine.ReplyTo
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
 import mintpick.net.Answer
 import mintpick.net.LaterHandler
 import mintpick.net.Respond
--- a/src/test/kotlin/mintpick/engine/EventLoopTest.kt
+++ b/src/test/kotlin/mintpick/engine/EventLoopTest.kt
@@ -4,6 +4,7 @@
 import mintpick.config.Operators
 import mintpick.core.JobId
 import mintpick.core.SECOND
+import mintpick.engine.runtime.Event
 import mintpick.net.Answer
 import mintpick.net.Call
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/mintpick/engine/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.membership
 
 import mintpick.Samples
 import mintpick.core.JobId
@@ -6,6 +6,10 @@
 import mintpick.core.Micros
 import mintpick.core.NodeId
 import mintpick.core.SECOND
+import mintpick.engine.runtime.Effect
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
 import mintpick.net.Outcome
 import mintpick.sim.SimState
 import mintpick.store.Keys
--- a/src/test/kotlin/mintpick/engine/UsageLayoutTest.kt
+++ b/src/test/kotlin/mintpick/engine/state/UsageLayoutTest.kt
@@ -1,4 +1,4 @@
-package mintpick.engine
+package mintpick.engine.state
 
 import io.kotest.property.Arb
 import io.kotest.property.PropTestConfig
--- a/src/test/kotlin/mintpick/sim/CancellationBoundTest.kt
+++ b/src/test/kotlin/mintpick/sim/CancellationBoundTest.kt
@@ -5,8 +5,8 @@
 import mintpick.core.MILLI
 import mintpick.core.Micros
 import mintpick.core.SECOND
-import mintpick.engine.Event
-import mintpick.engine.ReplyTo
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
 import mintpick.wire.JobAnswer
 import mintpick.wire.JobSpec
 import mintpick.wire.WireJson
--- a/src/test/kotlin/mintpick/sim/DependentJobsTest.kt
+++ b/src/test/kotlin/mintpick/sim/DependentJobsTest.kt
@@ -4,8 +4,8 @@
 import mintpick.config.Settings
 import mintpick.core.JobId
 import mintpick.core.SECOND
-import mintpick.engine.Event
-import mintpick.engine.ReplyTo
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
 import mintpick.store.Keys
 import mintpick.wire.JobAnswer
 import mintpick.wire.JobSpec
--- a/src/test/kotlin/mintpick/sim/Records.kt
+++ b/src/test/kotlin/mintpick/sim/Records.kt
@@ -5,7 +5,7 @@
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineId
-import mintpick.engine.ShardClaims
+import mintpick.engine.membership.ShardClaims
 import mintpick.store.Keys
 import mintpick.store.RecordCodec
 import mintpick.wire.ClaimRecord
--- a/src/test/kotlin/mintpick/sim/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/sim/StateStoreFaultCombinationsTest.kt
@@ -8,11 +8,11 @@
 import mintpick.core.MachineId
 import mintpick.core.Micros
 import mintpick.core.SECOND
-import mintpick.engine.Effect
-import mintpick.engine.EngineContext
-import mintpick.engine.FormatGate
-import mintpick.engine.StateStoreClient
-import mintpick.engine.Write
+import mintpick.engine.runtime.Effect
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
 import mintpick.net.Call
 import mintpick.net.Outcome
 import mintpick.store.Keys
--- a/src/test/kotlin/mintpick/sim/Users.kt
+++ b/src/test/kotlin/mintpick/sim/Users.kt
@@ -3,8 +3,8 @@
 import mintpick.core.JobId
 import mintpick.core.Micros
 import mintpick.core.SECOND
-import mintpick.engine.Event
-import mintpick.engine.ReplyTo
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
 import mintpick.net.Answer
 import mintpick.wire.JobAnswer
 import mintpick.wire.JobSpec
--- a/src/test/kotlin/mintpick/sim/World.kt
+++ b/src/test/kotlin/mintpick/sim/World.kt
@@ -5,10 +5,10 @@
 import mintpick.core.MILLI
 import mintpick.core.Micros
 import mintpick.core.SECOND
-import mintpick.engine.Effect
 import mintpick.engine.Engine
-import mintpick.engine.Event
-import mintpick.engine.ReplyTo
+import mintpick.engine.runtime.Effect
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
 import mintpick.net.Answer
 import mintpick.net.Call
 import mintpick.net.Outcome
--- a/src/test/kotlin/mintpick/upgrade/ProductionEngine.kt
+++ b/src/test/kotlin/mintpick/upgrade/ProductionEngine.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.serialization.KSerializer
 import mintpick.core.Micros
-import mintpick.engine.Effect
-import mintpick.engine.Event
-import mintpick.engine.ReplyTo
+import mintpick.engine.runtime.Effect
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
 import mintpick.net.Answer
 import mintpick.net.Call
 import mintpick.sim.World
--- a/src/test/kotlin/mintpick/users/RoutesTest.kt
+++ b/src/test/kotlin/mintpick/users/RoutesTest.kt
@@ -1,7 +1,7 @@
 package mintpick.users
 
 import mintpick.core.SECOND
-import mintpick.engine.Event
+import mintpick.engine.runtime.Event
 import mintpick.net.Answer
 import mintpick.wire.MachineHint
 import mintpick.wire.MeshProtobuf
