--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -14,7 +14,6 @@
 import mintpick.engine.capacity.CapacityPlanner
 import mintpick.engine.capacity.CloudInventory
 import mintpick.engine.capacity.MachineMonitor
-import mintpick.engine.jobs.JobUpdate
 import mintpick.engine.jobs.JobUpdates
 import mintpick.engine.jobs.RecordSweeper
 import mintpick.engine.jobs.UserRequests
@@ -28,6 +27,7 @@
 import mintpick.engine.scheduling.UsageAccounting
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.StateStoreClient
+import mintpick.engine.transactions.JobUpdate
 import mintpick.net.Answer
 import mintpick.net.Call
 import mintpick.net.Target
--- a/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
@@ -15,9 +15,9 @@
 import mintpick.core.TaskId
 import mintpick.core.demand
 import mintpick.core.isService
-import mintpick.engine.jobs.JobUpdate
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
+import mintpick.engine.transactions.JobUpdate
 import mintpick.wire.ExitCause
 import mintpick.wire.StoredStage
 import mintpick.wire.TaskState
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdates.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdates.kt
@@ -13,6 +13,10 @@
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.StateStoreClient
 import mintpick.engine.state.Write
+import mintpick.engine.transactions.JobUpdate
+import mintpick.engine.transactions.TransactionBatch
+import mintpick.engine.transactions.TransactionLimits
+import mintpick.engine.transactions.TransactionPart
 import mintpick.store.Keys
 import mintpick.store.RecordCodec
 import mintpick.store.TransactionResult
--- a/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
@@ -4,6 +4,8 @@
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.Write
+import mintpick.engine.transactions.TransactionLimits
+import mintpick.engine.transactions.TransactionPart
 import mintpick.store.Keys
 import mintpick.store.RecordFormat
 import mintpick.store.SpecPieces
--- a/src/main/kotlin/mintpick/engine/jobs/UserRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/UserRequests.kt
@@ -14,6 +14,7 @@
 import mintpick.engine.runtime.ReplyTo
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.StateStoreClient
+import mintpick.engine.transactions.TransactionLimits
 import mintpick.net.Answer
 import mintpick.net.errorAnswer
 import mintpick.store.SpecPieces
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -22,12 +22,12 @@
 import mintpick.engine.agents.Reconciler
 import mintpick.engine.cache.Claim
 import mintpick.engine.cache.KnownMachine
-import mintpick.engine.jobs.JobUpdate
 import mintpick.engine.jobs.JobUpdates
 import mintpick.engine.jobs.JobUrgency
 import mintpick.engine.membership.ControllerHealth
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
+import mintpick.engine.transactions.JobUpdate
 import mintpick.wire.Priority
 import mintpick.wire.Retiring
 import mintpick.wire.StoredStage
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -1,4 +1,4 @@
-package mintpick.engine.jobs
+package mintpick.engine.transactions
 
 import mintpick.core.AttemptId
 import mintpick.core.ChunkEdit
