--- a/src/main/kotlin/mintpick/cli/ClassDataTraining.kt
+++ b/src/main/kotlin/mintpick/cli/ClassDataTraining.kt
@@ -30,7 +30,7 @@
     fun run() {
         val (api, mesh, outside) = List(3) { freePort() }
         val revision = AtomicLong(1)
-        val answerOnBehalf: HttpHandler = { request ->
+        val fakeServices: HttpHandler = { request ->
             val path = request.uri.path
             val body =
                 when {
@@ -46,7 +46,7 @@
                 }
             Response(Status.OK).header("Content-Type", "application/json").body(body)
         }
-        JdkServer(Address("127.0.0.1", outside), 2).start { request, respond -> respond(answerOnBehalf(request)) }
+        JdkServer(Address("127.0.0.1", outside), 2).start { request, respond -> respond(fakeServices(request)) }
         val settings = Settings.parse(settings(api, mesh, outside))
         lateinit var eventLoop: EventLoop
         val caller = HttpCaller { id, outcome -> eventLoop.put(Event.CallDone(id, outcome)) }
