--- a/src/main/kotlin/mintpick/engine/EventLoop.kt
+++ b/src/main/kotlin/mintpick/engine/EventLoop.kt
@@ -11,59 +11,85 @@
 import java.util.concurrent.ArrayBlockingQueue
 import java.util.concurrent.TimeUnit
 
-/** The thread that owns the engine: it drains the command queue in batches and carries out what comes of them. */
+/**
+ * The thread that owns the engine: it drains the event queue in batches, steps the engine and carries out its effects.
+ *
+ * @param start starts a call; its outcome comes back through [put]
+ * @param steadyUs the steady clock, in microseconds
+ * @param wallUs the time of day, in microseconds since 1970
+ */
 class EventLoop(
     private val engine: Engine,
     private val start: (id: Long, call: Call) -> Unit,
     private val steadyUs: () -> Micros,
     private val wallUs: () -> Micros,
 ) {
-    private val queue = ArrayBlockingQueue<Event>(QUEUE)
+    private val queue = ArrayBlockingQueue<Event>(QUEUE_CAPACITY)
 
-    /** False if the queue is full: the caller refuses instead of waiting. */
-    fun offer(event: Event): Boolean = queue.offer(event)
-
-    /** Whether requests should come here; a thread that stands still or falls far behind takes none. */
-    fun isUp(): Boolean = up && steadyUs() - steppedUs < STUCK
+    /** Outcomes of calls that were not made; the event loop must not wait for room in its own queue. */
+    private val unsentCalls = ArrayList<Event>()
 
-    /** Outcomes of calls that were not made; the owner must not wait for room in its own queue. */
-    private val unsent = ArrayList<Event>()
+    @Volatile private var isEngineUp = false
 
-    @Volatile private var up = false
+    @Volatile private var lastStepUs: Micros = 0
 
-    @Volatile private var steppedUs: Micros = 0
+    /** Queues a request; false if the queue is full, and the caller refuses instead of waiting. Any thread. */
+    fun offer(event: Event): Boolean = queue.offer(event)
 
-    /** For what must not be lost: outcomes of our own calls. */
+    /** Queues what must not be lost, outcomes of our own calls, and waits for room if it has to. Any thread but the event loop's. */
     fun put(event: Event) = queue.put(event)
 
+    /** Whether requests should come here; an event loop that is paused or falls far behind takes none. Any thread. */
+    fun isUp(): Boolean = isEngineUp && steadyUs() - lastStepUs < STALLED
+
+    /** Runs until the thread is interrupted. */
     fun run() {
         val batch = ArrayList<Event>()
-        while (!Thread.currentThread().isInterrupted) {
-            batch.clear()
-            queue.poll(IDLE, TimeUnit.MICROSECONDS)?.let(batch::add)
-            queue.drainTo(batch, BATCH)
-            batch += unsent
-            unsent.clear()
-            try {
-                val now = steadyUs()
-                engine.step(now, wallUs(), batch).forEach { if (steadyUs() - now > STALE) refuse(it) else perform(it) }
-                up = engine.isUp
-                steppedUs = now
-            } catch (e: RuntimeException) {
-                // One bad step must not end the service; what was lost is read again or asked again.
-                LOG.error("step failed", e)
+        try {
+            while (!Thread.currentThread().isInterrupted) {
+                fill(batch)
+                stepSafely(batch)
             }
+        } catch (_: InterruptedException) {
+            // Interrupted while it waited for an event: the flag tells whoever runs this thread.
+            Thread.currentThread().interrupt()
+        }
+    }
+
+    private fun fill(batch: MutableList<Event>) {
+        batch.clear()
+        queue.poll(MAX_IDLE, TimeUnit.MICROSECONDS)?.let(batch::add)
+        queue.drainTo(batch, MAX_BATCH)
+        batch += unsentCalls
+        unsentCalls.clear()
+    }
+
+    /** One bad step must not end the service: what was lost is read again or asked again. */
+    private fun stepSafely(batch: List<Event>) {
+        try {
+            step(batch)
+        } catch (e: RuntimeException) {
+            LOG.error("step failed", e)
+        }
+    }
+
+    private fun step(batch: List<Event>) {
+        val now = steadyUs()
+        for (effect in engine.step(now, wallUs(), batch)) {
+            if (steadyUs() - now > STALE_STEP) refuse(effect) else perform(effect)
         }
+        isEngineUp = engine.isUp
+        lastStepUs = now
     }
 
     /**
-     * The process stood still since the step began: what was decided then may be overtaken, by a lease that has ended or by
+     * The process was paused since the step began: what was decided then may be overtaken, by a lease that has expired or by
      * what other controllers have said since. Nothing of it leaves; whoever waits is to ask again.
      */
     private fun refuse(effect: Effect) {
         when (effect) {
-            is Effect.Send -> effect.reply.answer(errorAnswer(UNAVAILABLE, "stood still", RETRY_S))
-            is Effect.Start -> unsent += Event.CallDone(effect.id, Outcome.NotSent)
+            is Effect.Send -> effect.reply.answer(errorAnswer(UNAVAILABLE, "stood still", RETRY_AFTER_S))
+            is Effect.Start -> unsentCalls += Event.CallDone(effect.id, Outcome.NotSent)
         }
     }
 
@@ -74,19 +100,19 @@
         }
     }
 
-    companion object {
-        private val LOG = LoggerFactory.getLogger(EventLoop::class.java)
-        private const val QUEUE = 4096
-        private const val BATCH = 256
-        private const val STUCK: Micros = 2_000 * MILLI
-        private const val IDLE: Micros = 50 * MILLI
-        private const val UNAVAILABLE = 503
-        private const val RETRY_S = 1
+    private companion object {
+        val LOG = LoggerFactory.getLogger(EventLoop::class.java)
+        const val QUEUE_CAPACITY = 4096
+        const val MAX_BATCH = 256
+        const val STALLED: Micros = 2_000 * MILLI
+        const val MAX_IDLE: Micros = 50 * MILLI
+        const val UNAVAILABLE = 503
+        const val RETRY_AFTER_S = 1
 
         /**
-         * A step acts only if the state service has served us within 2.5 s: with this the lease of 5 s still holds. Far above
+         * A step acts only if the state store has served us within 2.5 s: with this the lease of 5 s still holds. Far above
          * what a step takes when the processor is short.
          */
-        private const val STALE: Micros = 2_000 * MILLI
+        const val STALE_STEP: Micros = 2_000 * MILLI
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
@@ -0,0 +1,128 @@
+package mintpick.engine
+
+import mintpick.core.MILLI
+import mintpick.core.MachineView
+import mintpick.core.Micros
+import mintpick.core.NodeId
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.agents.Reconciler
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.net.Answer
+import mintpick.net.Call
+import mintpick.net.Outcome
+import mintpick.net.Target
+import mintpick.wire.MachineHint
+import mintpick.wire.MeshProtobuf
+import mintpick.wire.PeerHint
+import mintpick.wire.decodeHint
+
+/** What this controller tells its peers of the machines that it commands. */
+internal class MachineHints(
+    private val context: EngineContext,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val reconciler: Reconciler,
+    private val commandPlanner: CommandPlanner,
+) {
+    /** Reachable machines that take work, with the age of their last heartbeat; image names are collected in [imageNumbers]. */
+    fun of(imageNumbers: MutableMap<String, Int>): List<MachineHint> =
+        usableMachines().map { view ->
+            val images = view.imageNames.map { imageNumbers.getOrPut(it) { imageNumbers.size } }
+            MachineHint(view.id.text, context.now - view.reportedUs, images)
+        }
+
+    private fun usableMachines(): List<MachineView> =
+        agents.views().filter { view ->
+            view.latest != null &&
+                context.now - view.reportedUs < context.settings.reportUs * 2 &&
+                !reconciler.failures.isFaulty(view.id) &&
+                !agents.isUnreachable(view.id) &&
+                !commandPlanner.isEmptying(view, shardClaims.control(view.id))
+        }
+}
+
+/**
+ * Exchanges hints with the other controllers: what each is served by, which machines it hears and which jobs it knows to be
+ * cancelled. Event-loop thread only.
+ */
+internal class PeerHintExchange(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+    private val health: ControllerHealth,
+    private val reconciler: Reconciler,
+    private val machineHints: MachineHints,
+) {
+    private var nextHintUs: Micros = 0
+    private var hintsSent = 0
+    private var announcedLackOfCapacity = false
+
+    /** Sends a hint to every peer once a second, and earlier when [lacksCapacity] has just become true: a peer may have room. */
+    fun tick(lacksCapacity: Boolean) {
+        val isNews = lacksCapacity && !announcedLackOfCapacity && context.now >= nextHintUs - HINT_INTERVAL + HINT_MIN_INTERVAL
+        if (context.now < nextHintUs && !isNews) return
+        nextHintUs = context.now + HINT_INTERVAL
+        announcedLackOfCapacity = lacksCapacity
+        val body = encode(hint(lacksCapacity, listsMachines = hintsSent++ % 2 == 0))
+        context.settings.peers.forEach { send(NodeId(it.node), it.address.toString(), body) }
+    }
+
+    /** Takes a peer's hint; the answer is our own. */
+    fun answer(
+        received: PeerHint,
+        lacksCapacity: Boolean,
+    ): Answer {
+        health.onHint(received)
+        return Answer(OK, encode(hint(lacksCapacity, listsMachines = false)), null, PROTOBUF)
+    }
+
+    private fun send(
+        peer: NodeId,
+        address: String,
+        body: ByteArray,
+    ) {
+        val sentUs = context.now
+        context.call(Call(Target.Peer(address), "POST", "/hint", body, HINT_TIMEOUT, PROTOBUF)) { outcome ->
+            if (outcome is Outcome.Answered && outcome.status == OK) {
+                health.answeredBy(peer, sentUs)
+                decodeHint(outcome.body)?.let { health.onAnsweredHint(it, sentUs) }
+            }
+        }
+    }
+
+    private fun encode(hint: PeerHint): ByteArray = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
+
+    /** Machines are listed in every other hint only: with a thousand of them the list is most of its size. */
+    private fun hint(
+        lacksCapacity: Boolean,
+        listsMachines: Boolean,
+    ): PeerHint {
+        val imageNumbers = LinkedHashMap<String, Int>()
+        val machines = if (listsMachines) machineHints.of(imageNumbers) else emptyList()
+        val stateAgeUs = stateStore.lastServedUs?.takeIf { stateStore.serving }?.let { context.now - it }
+        return PeerHint(
+            context.settings.node,
+            stateAgeUs ?: NEVER_SERVED,
+            machines,
+            context.cache.revision,
+            listsMachines,
+            lacksCapacity,
+            imageNumbers.keys.toList(),
+            context.cache.cancelledJobs(),
+            cancelledIsComplete = stateStore.hasLoaded,
+            faultyJobs = reconciler.failures.faultyJobs().map { it.text },
+        )
+    }
+
+    private companion object {
+        const val OK = 200
+        const val PROTOBUF = "application/x-protobuf"
+        const val NEVER_SERVED = -1L
+        const val HINT_INTERVAL: Micros = 1_000 * MILLI
+        const val HINT_MIN_INTERVAL: Micros = 250 * MILLI
+        const val HINT_TIMEOUT: Micros = 800 * MILLI
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/StatusReporter.kt
@@ -0,0 +1,70 @@
+package mintpick.engine
+
+import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.UserRequests
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.scheduling.UsageAccounting
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
+import mintpick.wire.NodeStatus
+import mintpick.wire.StatusLimits
+
+/** Puts together the status page of this controller, for people on call. Event-loop thread only. */
+internal class StatusReporter(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
+    private val formats: FormatGate,
+    private val userRequests: UserRequests,
+    private val jobUpdates: JobUpdates,
+    private val usageAccounting: UsageAccounting,
+) {
+    /** The state as of the current step. */
+    fun status(): NodeStatus {
+        val cache = context.cache
+        return NodeStatus(
+            node = context.settings.node,
+            phase = stateStore.phase.name.lowercase(),
+            leader = cache.leader?.node?.text,
+            shards = ownShards(),
+            borrowed = ownBorrowedMachines(),
+            machines = cache.machines.size,
+            jobs = cache.jobs.size,
+            waitingTasks = cache.jobs.sumOf { it.waiting },
+            placedTasks = cache.jobs.sumOf { it.placed },
+            pendingSubmissions = userRequests.submissions.size,
+            pendingCancellations = userRequests.cancellations.size,
+            revision = cache.revision,
+            use = context.settings.teams.associate { it.name to usageAccounting.use(it.name) },
+            stateLatencyMs = stateStore.latencyMs(),
+            waitingForPredecessors = cache.dependencies.waitingCount,
+            withdrawnJobs = cache.closableJobs().count { !it.isReleased },
+            recordFormat = formats.current.name.lowercase(),
+            formatLevels = formats.levels(),
+            limits = limits(),
+            tooLargeTransactions = stateStore.tooLarge,
+        )
+    }
+
+    private fun ownShards(): List<Int> =
+        context.cache.claims
+            .filterValues(shardClaims::isMine)
+            .keys
+            .sorted()
+
+    private fun ownBorrowedMachines(): List<String> =
+        context.cache.borrows
+            .filterValues(shardClaims::isMine)
+            .keys
+            .map { it.text }
+
+    private fun limits() =
+        StatusLimits(
+            context.settings.limits.writeRps,
+            context.settings.limits.rps,
+            formats.valueBytes.toInt(),
+            jobUpdates.limits.changes,
+            jobUpdates.limits.guards,
+        )
+}
