--- a/src/main/kotlin/mintpick/core/TeamQuota.kt
+++ b/src/main/kotlin/mintpick/core/TeamQuota.kt
@@ -3,29 +3,34 @@
 import mintpick.wire.JobSpec
 
 /**
- * What teams may still use under their limits, as one pass gives it out. [limits] names every team, with [UNLIMITED] for a
- * resource without a limit; [usedBy] is what a team uses before the pass.
+ * What teams may still use under their limits, as one pass gives it out. Pure: kept for the pass only.
+ *
+ * @param limits the limit of every team, with [UNLIMITED] for a resource without one
+ * @param usedBy what a team uses before the pass
  */
 class TeamQuota(
     private val limits: Map<String, Resources>,
     private val usedBy: (String) -> Resources,
 ) {
-    private val taken = HashMap<String, Resources>()
+    private val takenInPass = HashMap<String, Resources>()
 
     /** How many more tasks of [spec] its team's limit allows; none for an unknown team. */
     fun tasks(spec: JobSpec): Int {
         val limit = limits[spec.team] ?: return 0
-        return spec.demand.countIn(limit - usedBy(spec.team) - (taken[spec.team] ?: Resources.ZERO))
+        val left = limit - usedBy(spec.team) - (takenInPass[spec.team] ?: Resources.ZERO)
+        return spec.demand.countIn(left)
     }
 
+    /** Counts [count] tasks of [spec] as used for the rest of the pass. */
     fun take(
         spec: JobSpec,
         count: Int,
     ) {
-        taken.merge(spec.team, spec.demand * count.toDouble(), Resources::plus)
+        takenInPass.merge(spec.team, spec.demand * count.toDouble(), Resources::plus)
     }
 
     companion object {
+        /** More of any resource than a team can use. */
         const val UNLIMITED = 1e15
     }
 }
--- a/src/main/kotlin/mintpick/dependencies/CriticalPaths.kt
+++ b/src/main/kotlin/mintpick/dependencies/CriticalPaths.kt
@@ -4,64 +4,65 @@
 import mintpick.core.Micros
 import mintpick.wire.Priority
 
-/** What the jobs behind a job ask of it. */
+/** How urgent a job is for itself and for its successors. */
 data class Urgency(
-    /** The highest priority of the job itself and of all that need it. */
+    /** The highest priority of the job itself and of all its successors, at any depth. */
     val priority: Priority,
     /** When its tasks have to start at the latest, on the clock of deadlines; null: nobody set a deadline. */
     val latestStartUs: Micros?,
 )
 
-/** What is asked of one job by itself. */
+/** What its own specification demands of one job. */
 data class JobDemand(
     val priority: Priority,
-    /** When it is to be done; null: no deadline. */
+    /** When it has to be done, on the clock of deadlines; null: no deadline. */
     val dueUs: Micros?,
     /** How long its tasks are expected to run. */
     val runUs: Micros,
 )
 
 /**
- * The critical path method over the [graph]: a job has to start early enough for all that needs it. Remembered until the
- * graph changes.
+ * The critical path method over the [graph]: a job has to start early enough for all its successors. Results are cached
+ * until the graph changes. Event-loop thread only.
  */
 class CriticalPaths(
     private val graph: DependencyGraph,
+    /** The demand of a job; null if nothing is known of it. */
     private val demandOf: (JobId) -> JobDemand?,
 ) {
-    private val known = HashMap<JobId, Urgency?>()
-    private var epoch = -1L
+    private val urgencies = HashMap<JobId, Urgency?>()
+    private var cachedEpoch = -1L
 
     /** How urgent [job] is; null if nothing is known of it. */
     fun urgency(job: JobId): Urgency? {
-        if (epoch != graph.epoch) {
-            known.clear()
-            epoch = graph.epoch
+        if (cachedEpoch != graph.epoch) {
+            urgencies.clear()
+            cachedEpoch = graph.epoch
         }
-        return urgencyOf(job)
+        if (job !in urgencies) computeWithSuccessors(job)
+        return urgencies[job]
     }
 
-    /** Walks by hand: a pipeline may be deeper than a stack. */
-    private fun urgencyOf(job: JobId): Urgency? {
-        val open = ArrayDeque(listOf(job))
-        while (open.isNotEmpty()) {
-            val next = open.last()
-            val missing = graph.successors(next).filter { it !in known }
-            if (next in known || missing.isEmpty()) {
-                open.removeLast()
-                if (next !in known) known[next] = combine(next)
-            } else {
-                open += missing
+    /** Depth-first with a stack of its own: a pipeline may be deeper than the thread's. */
+    private fun computeWithSuccessors(job: JobId) {
+        val stack = ArrayDeque(listOf(job))
+        while (stack.isNotEmpty()) {
+            val next = stack.last()
+            val missing = graph.successors(next).filter { it !in urgencies }
+            if (next !in urgencies && missing.isNotEmpty()) {
+                stack += missing
+                continue
             }
+            stack.removeLast()
+            if (next !in urgencies) urgencies[next] = combine(next)
         }
-        return known[job]
     }
 
     private fun combine(job: JobId): Urgency? {
         val own = demandOf(job) ?: return null
-        val behind = graph.successors(job).mapNotNull { known[it] }
-        val due = (behind.mapNotNull { it.latestStartUs } + listOfNotNull(own.dueUs)).minOrNull()
-        val priority = behind.minOfOrNull { it.priority } ?: own.priority
-        return Urgency(minOf(own.priority, priority), due?.let { it - own.runUs })
+        val successors = graph.successors(job).mapNotNull { urgencies[it] }
+        val dueUs = (successors.mapNotNull { it.latestStartUs } + listOfNotNull(own.dueUs)).minOrNull()
+        val priority = (successors.map { it.priority } + own.priority).min()
+        return Urgency(priority, dueUs?.let { it - own.runUs })
     }
 }
--- a/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
@@ -2,15 +2,19 @@
 
 import mintpick.core.JobId
 
-/** How a job stands that others wait for. */
+/** The state of a job that others depend on. */
 enum class PredecessorState {
     /** Not known yet, or neither done nor cancelled. */
     PENDING,
+
+    /** Done: it holds nobody back. */
     DONE,
+
+    /** Cancelled: its successors never run. */
     CANCELLED,
 }
 
-/** How a job stands towards the jobs that it waits for. */
+/** Whether a job's dependencies let its tasks start. */
 enum class Readiness {
     /** At least one predecessor is not done. */
     WAITING,
@@ -18,16 +22,17 @@
     /** All predecessors are done: its tasks may start. */
     RELEASED,
 
-    /** A job that it needs, directly or through others, is cancelled: it never runs. */
+    /** A predecessor, direct or indirect, is cancelled: it never runs. */
     WITHDRAWN,
 }
 
 /**
- * Which jobs wait for which, and what follows from the end of one. Nothing here is stored: all of it is derived from the
- * jobs' records, in whichever order they become known, so it is the same for every controller that knows them.
+ * The directed acyclic graph of dependencies between jobs, and what follows from the end of one. Nothing here is stored:
+ * all of it is derived from the jobs' records, in whichever order they become known, so it is the same for every
+ * controller that knows them. Event-loop thread only.
  *
- * A job may only name jobs that were accepted before it, so there are no cycles. A step costs what changes with it: jobs
- * that go on waiting are not looked at.
+ * A job may only name jobs that were accepted before it, so there are no cycles. A change costs what it affects: jobs that
+ * go on waiting are not visited.
  */
 class DependencyGraph {
     private class Node(
@@ -39,23 +44,27 @@
     private val nodes = HashMap<JobId, Node>()
     private val successors = HashMap<JobId, LinkedHashSet<JobId>>()
 
-    /** Rises with every change of the edges. */
+    /** Increases with every change of the edges. */
     var epoch = 0L
         private set
 
-    /** Jobs that wait for others. */
+    /** How many jobs wait for others. */
     var waitingCount = 0
         private set
 
-    /** How [job] stands; one without predecessors, or of which nothing is known here, waits for nobody. */
+    /** The readiness of [job]; one without predecessors, or of which nothing is known here, is released. */
     fun readiness(job: JobId): Readiness = nodes[job]?.readiness ?: Readiness.RELEASED
 
+    /** Jobs that [job] names; none if it is over or not known here. */
     fun predecessors(job: JobId): Set<JobId> = nodes[job]?.predecessors.orEmpty()
 
     /** Jobs that name [job] and are not over themselves. */
     fun successors(job: JobId): Set<JobId> = successors[job].orEmpty()
 
-    /** Notes a job that is not over; a known one keeps its edges. Returns how it stands. */
+    /**
+     * Adds a job that is not over, with the state of its predecessors by [stateOf]; a known one keeps its edges. Returns its
+     * readiness.
+     */
     fun add(
         job: JobId,
         predecessors: Collection<JobId>,
@@ -78,7 +87,7 @@
         return readiness
     }
 
-    /** Forgets a job that is over. What waits for it is told by [done] or [cancelled]. */
+    /** Removes a job that is over. What follows for its successors is the matter of [done] or [cancelled]. */
     fun remove(job: JobId) {
         val node = nodes.remove(job) ?: return
         if (node.readiness == Readiness.WAITING) waitingCount--
@@ -90,12 +99,14 @@
         epoch++
     }
 
-    /** [job] is done. Returns the jobs that it was the last to hold back. */
+    /** [job] is done. Returns the jobs that are released by that: it was the last predecessor that they waited for. */
     fun done(job: JobId): List<JobId> {
         val released = ArrayList<JobId>()
         for (successor in successors(job)) {
             val node = nodes[successor] ?: continue
-            if (!node.unfinished.remove(job) || node.readiness != Readiness.WAITING || node.unfinished.isNotEmpty()) continue
+            val wasUnfinished = node.unfinished.remove(job)
+            val isLast = wasUnfinished && node.unfinished.isEmpty()
+            if (!isLast || node.readiness != Readiness.WAITING) continue
             node.readiness = Readiness.RELEASED
             waitingCount--
             released += successor
@@ -106,15 +117,15 @@
     /** [job] is cancelled. Returns all jobs that are withdrawn with it, at any depth. */
     fun cancelled(job: JobId): List<JobId> {
         val withdrawn = ArrayList<JobId>()
-        val open = ArrayDeque(successors(job))
-        while (open.isNotEmpty()) {
-            val successor = open.removeFirst()
+        val queue = ArrayDeque(successors(job))
+        while (queue.isNotEmpty()) {
+            val successor = queue.removeFirst()
             val node = nodes[successor] ?: continue
             if (node.readiness != Readiness.WAITING) continue
             node.readiness = Readiness.WITHDRAWN
             waitingCount--
             withdrawn += successor
-            open += successors(successor)
+            queue += successors(successor)
         }
         return withdrawn
     }
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -11,20 +11,32 @@
 import mintpick.engine.capacity.CapacityPlanner
 import mintpick.engine.capacity.CloudInventory
 import mintpick.engine.capacity.MachineMonitor
+import mintpick.engine.jobs.JobAnswers
 import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUrgency
+import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.jobs.RecordSweeper
+import mintpick.engine.jobs.SubmissionValidator
 import mintpick.engine.jobs.UserRequests
+import mintpick.engine.membership.ClusterContact
 import mintpick.engine.membership.ControllerHealth
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.Effect
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.runtime.Event
 import mintpick.engine.runtime.ReplyTo
+import mintpick.engine.scheduling.ControllerSelection
+import mintpick.engine.scheduling.FaultyJobs
+import mintpick.engine.scheduling.JobPlacer
+import mintpick.engine.scheduling.JobQueue
+import mintpick.engine.scheduling.MachineCandidates
 import mintpick.engine.scheduling.PreemptionPlanner
 import mintpick.engine.scheduling.Scheduler
 import mintpick.engine.scheduling.UsageAccounting
+import mintpick.engine.scheduling.UsageSummaryStore
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.StateStoreClient
+import mintpick.engine.transactions.TransactionLimits
 import mintpick.net.Answer
 import mintpick.wire.NodeStatus
 import mintpick.wire.WireJson
@@ -43,15 +55,23 @@
     private val context = EngineContext(settings, random)
     private val formats = FormatGate(context)
     private val stateStore = StateStoreClient(context, formats)
-    private val shardClaims = ShardClaims(context, stateStore)
+    private val shardClaims = ShardClaims(context, stateStore, Contact())
     private val health = ControllerHealth(context, stateStore)
     private val commandPlanner = CommandPlanner(context, health)
     private val agents = AgentRegistry(context, stateStore, shardClaims, health, commandPlanner)
     private val reconciler = Reconciler(context, shardClaims, agents, commandPlanner)
-    private val usageAccounting = UsageAccounting(context, stateStore, shardClaims, operators, formats)
+    private val usageSummaries = UsageSummaryStore(context, stateStore, operators, formats)
+    private val usageAccounting = UsageAccounting(context, stateStore, shardClaims, operators, usageSummaries)
     private val preemptionPlanner = PreemptionPlanner(context, shardClaims, agents, commandPlanner, usageAccounting, operators)
+    private val jobUrgency = JobUrgency(context)
+    private val jobQueue = JobQueue(context, usageAccounting, jobUrgency, operators.sizeHandicap)
+    private val controllerSelection = ControllerSelection(context, shardClaims, health)
+    private val machineCandidates = MachineCandidates(context, shardClaims, agents, commandPlanner, reconciler, health)
+    private val faultyJobs = FaultyJobs(context, shardClaims, reconciler, health)
+    private val jobPlacer =
+        JobPlacer(context, shardClaims, agents, reconciler, machineCandidates, jobUrgency, operators.placementSample)
     private val scheduler =
-        Scheduler(context, shardClaims, agents, commandPlanner, reconciler, usageAccounting, health, preemptionPlanner, operators)
+        Scheduler(context, jobQueue, controllerSelection, machineCandidates, faultyJobs, jobPlacer, preemptionPlanner)
     private val cloudInventory = CloudInventory(context, stateStore, shardClaims, agents, reconciler, health, formats)
     private val machineRegistry = MachineRegistry(context, stateStore, shardClaims, agents, reconciler, formats)
     private val capacityPlanner =
@@ -68,21 +88,26 @@
             health,
             operators,
         )
-    private val userRequests = UserRequests(context, stateStore, formats)
-    private val jobUpdates = JobUpdates(context, stateStore, shardClaims, userRequests, commandPlanner, formats)
+    private val transactionLimits = TransactionLimits(settings.limits.transactionOps)
+    private val jobAnswers = JobAnswers(context, stateStore)
+    private val pendingRequests = PendingRequests(context, stateStore, jobAnswers)
+    private val submissionValidator = SubmissionValidator(context, formats, transactionLimits)
+    private val userRequests = UserRequests(context, stateStore, pendingRequests, submissionValidator, jobAnswers)
+    private val jobUpdates = JobUpdates(context, stateStore, pendingRequests, commandPlanner, formats, transactionLimits)
     private val machineMonitor =
         MachineMonitor(context, stateStore, shardClaims, agents, health, machineRegistry, commandPlanner, scheduler)
-    private val sweeper = RecordSweeper(context, stateStore, shardClaims, userRequests)
-    private val updateCycle = JobUpdateCycle(context, stateStore, shardClaims, reconciler, scheduler, userRequests, jobUpdates)
+    private val sweeper = RecordSweeper(context, stateStore, shardClaims, pendingRequests)
+    private val updateCycle = JobUpdateCycle(context, stateStore, shardClaims, reconciler, scheduler, pendingRequests, jobUpdates)
     private val machineHints = MachineHints(context, shardClaims, agents, reconciler, commandPlanner)
     private val hintExchange = PeerHintExchange(context, stateStore, health, reconciler, machineHints)
     private val statusReporter =
-        StatusReporter(context, stateStore, shardClaims, formats, userRequests, jobUpdates, usageAccounting)
+        StatusReporter(context, stateStore, shardClaims, formats, pendingRequests, jobUpdates, usageAccounting)
     private var lastStepUs: Micros = 0
 
-    init {
-        shardClaims.reachesAgents = { !agents.isCutOff }
-        shardClaims.allPeersInTouch = { health.heardAllSince(context.now - IN_TOUCH) }
+    /** Asked in later steps only, when all parts of the engine exist. */
+    private inner class Contact : ClusterContact {
+        override val hearsAllPeers: Boolean get() = health.heardAllSince(context.now - IN_TOUCH)
+        override val reachesAgents: Boolean get() = !agents.isCutOff
     }
 
     /** Whether `/up` says that requests may come here, as of the last step. */
--- a/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
@@ -5,7 +5,7 @@
 import mintpick.core.Micros
 import mintpick.engine.agents.Reconciler
 import mintpick.engine.jobs.JobUpdates
-import mintpick.engine.jobs.UserRequests
+import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.scheduling.Scheduler
@@ -23,7 +23,7 @@
     private val shardClaims: ShardClaims,
     private val reconciler: Reconciler,
     private val scheduler: Scheduler,
-    private val userRequests: UserRequests,
+    private val pendingRequests: PendingRequests,
     private val jobUpdates: JobUpdates,
 ) {
     private var nextCycleUs: Micros = 0
@@ -49,8 +49,8 @@
     }
 
     private fun draftCancellations(draftOf: (JobId) -> JobUpdate?) {
-        for ((id, pending) in userRequests.cancellations) {
-            if (pending.taken || context.cache.job(id)?.stage != StoredStage.OPEN) continue
+        for ((id, pending) in pendingRequests.cancellations) {
+            if (pending.isInFlight || context.cache.job(id)?.stage != StoredStage.OPEN) continue
             draftOf(id)?.cancel()
         }
     }
@@ -63,7 +63,7 @@
         val writes = jobUpdates.budget() - RESERVED_WRITES
         if (writes <= 0) return
         val own = context.cache.closableJobs().filter { shardClaims.preferredController(it.id) == context.me }
-        own.take(minOf(writes, MAX_FINAL_RECORDS)).toList().forEach { draftOf(it.id)?.close() }
+        own.take(minOf(writes, MAX_FINAL_RECORDS)).toList().forEach { draftOf(it.id)?.writeFinalRecord() }
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/StatusReporter.kt
+++ b/src/main/kotlin/mintpick/engine/StatusReporter.kt
@@ -1,7 +1,7 @@
 package mintpick.engine
 
 import mintpick.engine.jobs.JobUpdates
-import mintpick.engine.jobs.UserRequests
+import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.scheduling.UsageAccounting
@@ -16,7 +16,7 @@
     private val stateStore: StateStoreClient,
     private val shardClaims: ShardClaims,
     private val formats: FormatGate,
-    private val userRequests: UserRequests,
+    private val pendingRequests: PendingRequests,
     private val jobUpdates: JobUpdates,
     private val usageAccounting: UsageAccounting,
 ) {
@@ -33,8 +33,8 @@
             jobs = cache.jobs.size,
             waitingTasks = cache.jobs.sumOf { it.waiting },
             placedTasks = cache.jobs.sumOf { it.placed },
-            pendingSubmissions = userRequests.submissions.size,
-            pendingCancellations = userRequests.cancellations.size,
+            pendingSubmissions = pendingRequests.submissions.size,
+            pendingCancellations = pendingRequests.cancellations.size,
             revision = cache.revision,
             use = context.settings.teams.associate { it.name to usageAccounting.use(it.name) },
             stateLatencyMs = stateStore.latencyMs(),
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
@@ -0,0 +1,78 @@
+package mintpick.engine.agents
+
+import mintpick.core.MachineId
+import mintpick.core.MachineView
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.ReplyTo
+import mintpick.wire.MachineReport
+
+/** Takes agents' heartbeats, answers them, and takes over machines that their controllers do not serve. Event-loop thread only. */
+internal class HeartbeatHandler(
+    private val context: EngineContext,
+    private val shardClaims: ShardClaims,
+    private val index: AgentIndex,
+    private val reachability: ReachabilityTracker,
+    private val dispatcher: CommandDispatcher,
+    private val unservedMachines: UnservedMachines,
+    private val answers: HeartbeatAnswers,
+) {
+    /** Takes the heartbeat [report]; [reply] is answered at once, or when a take-over of its machine is decided. */
+    fun onHeartbeat(
+        report: MachineReport,
+        reply: ReplyTo,
+    ) {
+        val machine = MachineId(report.machine)
+        if (index.isTerminated(machine)) return context.send(reply, answers.misdirected())
+        shardClaims.register(machine, report.zone)
+        val view = index.viewOrCreate(machine)
+        val isAwaited = view.awaits(report)
+        val isNewest = view.take(report, context.now, direct = false)
+        if (isNewest) index.onNewStatus(view, report)
+        if (isAwaited) reachability.onHeartbeatFrom(report.zone)
+        if (isAwaited && unservedMachines.isUnserved(machine)) {
+            takeOver(view, report, reply)
+        } else {
+            context.send(reply, answers.answer(view, report, scopeOf(isAwaited, isNewest)))
+        }
+    }
+
+    private fun scopeOf(
+        isAwaited: Boolean,
+        isNewest: Boolean,
+    ): AnswerScope =
+        when {
+            !isAwaited -> AnswerScope.UNREAD
+            isNewest -> AnswerScope.ALL_COMMANDS
+            else -> AnswerScope.STOPS_ONLY
+        }
+
+    /**
+     * Holds the heartbeat for a call to its agent and the one write that gives us control: redirected, the agent would spend
+     * the rest of its lease on controllers that it can't reach. The call tells a live machine whose commands get through from
+     * a late copy of a heartbeat, and from a machine that only its heartbeats leave.
+     */
+    private fun takeOver(
+        view: MachineView,
+        report: MachineReport,
+        reply: ReplyTo,
+    ) {
+        val machine = view.id
+        val shard = shardClaims.shard(machine)
+        val controller = shardClaims.control(machine)?.node
+        if (shard == null || controller == null) return context.send(reply, answers.misdirected())
+        unservedMachines.found(machine, shard)
+        dispatcher.inspect(view) { isReached ->
+            if (isReached) {
+                val isWholeShard = unservedMachines.isWholeShardUnserved(shard, controller)
+                shardClaims.takeOver(machine, isWholeShard, controller, "unserved") {
+                    val isNewest = view.latest === report
+                    context.send(reply, answers.answer(view, report, scopeOf(isAwaited = true, isNewest)))
+                }
+            } else {
+                // The agent itself waits, though we can't command it: nothing is started on it.
+                context.send(reply, answers.answer(view, report, AnswerScope.STOPS_ONLY))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -0,0 +1,194 @@
+package mintpick.engine.cache
+
+import kotlinx.serialization.json.JsonElement
+import mintpick.core.Chunk
+import mintpick.core.Job
+import mintpick.core.JobId
+import mintpick.core.predecessorIds
+import mintpick.dependencies.DependencyGraph
+import mintpick.dependencies.PredecessorState
+import mintpick.dependencies.Readiness
+import mintpick.store.RecordCodec
+import mintpick.wire.JobRecord
+import mintpick.wire.StoredStage
+
+/**
+ * Jobs as their records and those of their predecessors show them. Their placements are kept in [placements]. The `apply`
+ * functions throw [IllegalArgumentException] for an unreadable record.
+ */
+internal class JobCache(
+    private val placements: PlacementIndex,
+) {
+    /** A main record that was read before all pieces of its specification. */
+    private class IncompleteJob(
+        val record: JobRecord,
+        val version: Long,
+    )
+
+    private val jobsById = HashMap<JobId, Job>()
+    private val finalJobs = FinalJobCache()
+    private val incompleteJobs = HashMap<JobId, IncompleteJob>()
+    private val waitingIds = LinkedHashSet<JobId>()
+    private val closableIds = LinkedHashSet<JobId>()
+
+    /** Pieces of specifications. */
+    val specPieces = SpecPieceCache()
+
+    /** What follows for a job from the records of its predecessors. */
+    val dependencies = DependencyGraph()
+
+    /** Jobs that are not in a final stage. */
+    val jobs: Collection<Job> get() = jobsById.values
+
+    /** The job [id]; null: it is in a final stage, or not known. */
+    fun job(id: JobId): Job? = jobsById[id]
+
+    /** The job [id] if it is in a final stage. */
+    fun final(id: JobId): FinalJob? = finalJobs[id]
+
+    /** Open jobs with tasks to place, the one that has been so for longest first. */
+    fun waitingJobs(): List<Job> = waitingIds.mapNotNull { jobsById[it] }
+
+    /** Ids of the cancelled jobs that have tasks left. */
+    fun cancelledJobs(): List<String> {
+        val cancelled = jobsById.values.filter { it.stage == StoredStage.CANCELLED && it.id !in closableIds }
+        return cancelled.map { it.id.text }
+    }
+
+    /** Cancelled jobs without a task left, whose records are not final yet. */
+    fun closableJobs(): Sequence<Job> = closableIds.asSequence().mapNotNull { jobsById[it] }
+
+    /** The main record of [id] was written, or deleted if [value] is null. */
+    fun applyJob(
+        id: JobId,
+        value: JsonElement?,
+        version: Long,
+    ) {
+        val record = value?.let(RecordCodec::decodeJob)
+        when {
+            record == null -> remove(id)
+            record.isFinal -> applyFinal(id, record)
+            else -> applyOpen(id, record, version)
+        }
+    }
+
+    private fun remove(id: JobId) {
+        replace(id, null)
+        dependencies.remove(id)
+    }
+
+    private fun applyFinal(
+        id: JobId,
+        record: JobRecord,
+    ) {
+        finalJobs.put(id, FinalJob(record.stage, record.tasks))
+        remove(id)
+        updateSuccessors(id, record.stage)
+    }
+
+    private fun applyOpen(
+        id: JobId,
+        record: JobRecord,
+        version: Long,
+    ) {
+        val before = jobsById[id]
+        val spec = before?.spec ?: specPieces.join(id, record.specPieces ?: 0)
+        val stored = RecordCodec.job(id, record, version, before?.let(::furtherChunks).orEmpty(), spec)
+        if (stored == null) {
+            incompleteJobs[id] = IncompleteJob(record, version)
+            return
+        }
+        incompleteJobs.remove(id)
+        val job = withReadiness(stored)
+        replace(id, job)
+        if (job.stage == StoredStage.CANCELLED) updateSuccessors(id, StoredStage.CANCELLED)
+    }
+
+    /** Chunks in records of their own, which the main record says nothing about. */
+    private fun furtherChunks(job: Job): Map<Int, Chunk> =
+        (1 until job.chunkCount).associateWith { job.chunk(it) }.filterValues { it.version > 0 }
+
+    /** A piece of [id]'s specification was written, or deleted if [value] is null. */
+    fun applySpec(
+        id: JobId,
+        piece: Int,
+        value: JsonElement?,
+    ) {
+        specPieces.apply(id, piece, value)
+        val incomplete = incompleteJobs[id] ?: return
+        applyOpen(id, incomplete.record, incomplete.version)
+    }
+
+    /** The chunk [index] of [id] was written; nothing follows from a deletion, nor for an unknown job. */
+    fun applyChunk(
+        id: JobId,
+        index: Int,
+        value: JsonElement?,
+        version: Long,
+    ) {
+        if (value == null) return
+        val record = RecordCodec.decodeChunk(value)
+        val job = jobsById[id] ?: return
+        if (index >= job.chunkCount) return
+        val chunk = RecordCodec.chunk(record, job.sizeOf(index), version)
+        replace(id, job.with(chunk = index to chunk))
+    }
+
+    /** The job [stored] with what follows from its predecessors' records. */
+    private fun withReadiness(stored: Job): Job =
+        when (dependencies.add(stored.id, stored.spec.predecessorIds, ::predecessorState)) {
+            Readiness.RELEASED -> stored
+            Readiness.WAITING -> stored.with(isReleased = false)
+            Readiness.WITHDRAWN -> stored.with(stage = StoredStage.CANCELLED, isReleased = false)
+        }
+
+    private fun predecessorState(id: JobId): PredecessorState =
+        when (final(id)?.stage ?: jobsById[id]?.stage) {
+            StoredStage.DONE -> PredecessorState.DONE
+            StoredStage.CANCELLED -> PredecessorState.CANCELLED
+            else -> PredecessorState.PENDING
+        }
+
+    /** Releases or withdraws the successors of [id], which is done or cancelled as [stage] says. */
+    private fun updateSuccessors(
+        id: JobId,
+        stage: StoredStage,
+    ) {
+        if (stage == StoredStage.DONE) {
+            for (successor in dependencies.done(id)) {
+                jobsById[successor]?.let { replace(successor, it.with(isReleased = true)) }
+            }
+        } else {
+            for (successor in dependencies.cancelled(id)) {
+                jobsById[successor]?.let { replace(successor, it.with(stage = StoredStage.CANCELLED)) }
+            }
+        }
+    }
+
+    private fun replace(
+        id: JobId,
+        after: Job?,
+    ) {
+        jobsById[id]?.let(placements::remove)
+        after?.let(placements::add)
+        if (after == null) {
+            jobsById.remove(id)
+        } else {
+            jobsById[id] = after
+        }
+        updateMembership(closableIds, id, after != null && after.stage == StoredStage.CANCELLED && after.placed == 0)
+        updateMembership(waitingIds, id, after != null && after.waiting > 0)
+    }
+
+    private fun updateMembership(
+        ids: MutableSet<JobId>,
+        id: JobId,
+        isMember: Boolean,
+    ) {
+        if (isMember) {
+            ids += id
+        } else {
+            ids -= id
+        }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
@@ -0,0 +1,85 @@
+package mintpick.engine.cache
+
+import mintpick.core.Job
+import mintpick.core.MachineId
+import mintpick.core.Placement
+import mintpick.core.Resources
+import mintpick.core.TaskId
+import mintpick.core.demand
+import mintpick.core.isProduction
+import mintpick.core.isService
+
+/**
+ * Where the tasks of all jobs are placed and what they take, by machine and by team. Every machine whose tasks change is
+ * added to [changed].
+ */
+internal class PlacementIndex(
+    private val changed: MutableSet<MachineId>,
+) {
+    private class MachineLoad {
+        /** Attempts by task. */
+        val tasks = HashMap<TaskId, Int>()
+        var used = Resources.ZERO
+        var usedByServices = Resources.ZERO
+    }
+
+    private val loads = HashMap<MachineId, MachineLoad>()
+    private val usedByTeam = HashMap<String, Resources>()
+
+    /** Machines that tasks are assigned to. */
+    val machines: Set<MachineId> get() = loads.keys
+
+    /** Tasks assigned to [machine], with their attempts. */
+    fun tasksOn(machine: MachineId): Map<TaskId, Int> = loads[machine]?.tasks ?: emptyMap()
+
+    /** What the tasks on [machine] take. */
+    fun usedOn(machine: MachineId): Resources = loads[machine]?.used ?: Resources.ZERO
+
+    /** What services and production work take of [machine]. */
+    fun servicesOn(machine: MachineId): Resources = loads[machine]?.usedByServices ?: Resources.ZERO
+
+    /** What the placed tasks of [team] take. */
+    fun usedBy(team: String): Resources = usedByTeam[team] ?: Resources.ZERO
+
+    /** Adds the placements of [job]. */
+    fun add(job: Job) = account(job, 1)
+
+    /** Removes the placements of [job], as they were when they were added. */
+    fun remove(job: Job) = account(job, -1)
+
+    private fun account(
+        job: Job,
+        sign: Int,
+    ) {
+        val perTask = job.spec.demand * sign.toDouble()
+        var count = 0
+        for ((task, placement) in job.placements()) {
+            count++
+            changed += placement.machine
+            val load = loads.getOrPut(placement.machine) { MachineLoad() }
+            load.accountTask(TaskId(job.id, task), placement, sign)
+            if (load.tasks.isEmpty()) {
+                // Dropped with the last task, so that rounding errors of sums do not stay.
+                loads.remove(placement.machine)
+                continue
+            }
+            load.used += perTask
+            if (job.spec.isService || job.spec.isProduction) load.usedByServices += perTask
+        }
+        if (count == 0) return
+        val team = job.spec.team
+        usedByTeam[team] = usedBy(team) + job.spec.demand * (sign * count).toDouble()
+    }
+
+    private fun MachineLoad.accountTask(
+        task: TaskId,
+        placement: Placement,
+        sign: Int,
+    ) {
+        if (sign > 0) {
+            tasks[task] = placement.attempt
+        } else {
+            tasks.remove(task)
+        }
+    }
+}
--- a/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
@@ -10,7 +10,7 @@
 import mintpick.core.SECOND
 import mintpick.engine.agents.AgentRegistry
 import mintpick.engine.agents.Reconciler
-import mintpick.engine.cache.LocalCache
+import mintpick.engine.cache.MachineTypePieces
 import mintpick.engine.membership.ControllerHealth
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
@@ -152,7 +152,7 @@
 
     /** Types that one value can't hold go on in further pieces, which versions that know but one do not look for. */
     private fun storeTypes(types: List<MachineType>) {
-        val pieces = LocalCache.typePieces(types, formats.valueBytes, formats.current == RecordFormat.VERBOSE)
+        val pieces = MachineTypePieces.encode(types, formats.valueBytes, formats.current == RecordFormat.VERBOSE)
         val writes = pieces.mapIndexed { i, value -> Write(Keys.types(i), value) }
         val obsolete = (pieces.size until cache.typePieceCount).map { Write(Keys.types(it), null) }
         (writes + obsolete).chunked(context.settings.limits.transactionOps).forEach { stateStore.transact(emptyList(), it) { } }
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
@@ -0,0 +1,126 @@
+package mintpick.engine.jobs
+
+import mintpick.core.JobId
+import mintpick.engine.cache.FinalJob
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.ReplyTo
+import mintpick.engine.state.StateStoreClient
+import mintpick.net.Answer
+import mintpick.net.errorAnswer
+import mintpick.wire.JobAnswer
+import mintpick.wire.JobStage
+import mintpick.wire.JobStatus
+import mintpick.wire.StoredStage
+import mintpick.wire.WireJson
+
+/** Status codes of the answers to users. */
+internal object HttpStatus {
+    const val OK = 200
+    const val CREATED = 201
+    const val BAD_REQUEST = 400
+    const val NOT_FOUND = 404
+    const val UNPROCESSABLE = 422
+    const val TOO_MANY_REQUESTS = 429
+    const val UNAVAILABLE = 503
+}
+
+/** Answers to users about one job, from its records. Event-loop thread only. */
+class JobAnswers(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+) {
+    private val cache get() = context.cache
+
+    /** The job's stage as the records show it; null if they do not know it. */
+    fun stage(id: JobId): JobStage? = status(id)?.stage
+
+    /** The stage of a job that is over; null for all others. */
+    fun finalStage(id: JobId): JobStage? = cache.final(id)?.let { it.stage.asJobStage() }
+
+    /** Answers with [stage]. */
+    fun sendStage(
+        id: JobId,
+        stage: JobStage,
+        reply: ReplyTo,
+        status: Int = HttpStatus.OK,
+    ) {
+        val body = WireJson.encodeToString(JobAnswer.serializer(), JobAnswer(id.text, stage))
+        context.send(reply, Answer.json(status, body))
+    }
+
+    /** Answers with the job's stage once the records are current. */
+    fun sendCurrentStage(
+        id: JobId,
+        reply: ReplyTo,
+    ) = sendCurrentStageOr(id, reply) { unavailable("not decided") }
+
+    /** Answers with the job's stage once the records are current, or with [otherwise] if they do not know it. */
+    fun sendCurrentStageOr(
+        id: JobId,
+        reply: ReplyTo,
+        otherwise: () -> Answer,
+    ) = stateStore.caughtUp { ok ->
+        val stage = stage(id)
+        when {
+            !ok -> context.send(reply, stateStoreUnavailable())
+            stage != null -> sendStage(id, stage, reply)
+            else -> context.send(reply, otherwise())
+        }
+    }
+
+    /** Answers with the job's progress as the records show it. */
+    fun sendStatus(
+        id: JobId,
+        reply: ReplyTo,
+    ) {
+        val status = status(id)
+        if (status == null) {
+            context.send(reply, noSuchJob())
+        } else {
+            context.send(reply, Answer.json(HttpStatus.OK, WireJson.encodeToString(JobStatus.serializer(), status)))
+        }
+    }
+
+    /** The answer for a job that was never accepted. */
+    fun noSuchJob(): Answer = errorAnswer(HttpStatus.NOT_FOUND, "no such job")
+
+    /** The answer while the state service can't be used. */
+    fun stateStoreUnavailable(): Answer = unavailable("the state service does not answer")
+
+    /** An answer that has the user ask again in a moment. */
+    fun unavailable(message: String): Answer = errorAnswer(HttpStatus.UNAVAILABLE, message, RETRY_S)
+
+    /** The answer to a submission beyond what can be stored in time. */
+    fun tooManySubmissions(): Answer = errorAnswer(HttpStatus.TOO_MANY_REQUESTS, "too many submissions", RETRY_S)
+
+    private fun status(id: JobId): JobStatus? {
+        cache.final(id)?.let { return finalStatus(id, it) }
+        val job = cache.job(id) ?: return null
+        val stage =
+            when {
+                job.stage == StoredStage.CANCELLED -> JobStage.CANCELLED
+                job.placed > 0 -> JobStage.RUNNING
+                else -> JobStage.QUEUED
+            }
+        return JobStatus(id.text, stage, job.done, if (job.stage == StoredStage.OPEN) job.placed else 0)
+    }
+
+    private fun finalStatus(
+        id: JobId,
+        final: FinalJob,
+    ): JobStatus {
+        val done = if (final.stage == StoredStage.DONE) final.tasks else 0
+        return JobStatus(id.text, final.stage.asJobStage(), done, 0)
+    }
+
+    private fun StoredStage.asJobStage(): JobStage =
+        when (this) {
+            StoredStage.DONE -> JobStage.DONE
+            StoredStage.CANCELLED -> JobStage.CANCELLED
+            StoredStage.OPEN -> JobStage.QUEUED
+        }
+
+    private companion object {
+        const val RETRY_S = 1
+    }
+}
--- a/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
@@ -10,36 +10,25 @@
 import mintpick.dependencies.Urgency
 import mintpick.engine.runtime.EngineContext
 
-/** How urgent jobs are by their own deadlines and priorities and by those of the jobs that wait for them. */
+/** How urgent jobs are by their own deadlines and priorities and by those of their successors. Event-loop thread only. */
 class JobUrgency(
     private val context: EngineContext,
 ) {
     private var cache = context.cache
-    private var paths = paths()
+    private var criticalPaths = newCriticalPaths()
 
-    /** When each released job was first seen to be so: its waits count from then on. */
-    private val readySince = HashMap<JobId, Micros>()
-
-    private fun paths() = CriticalPaths(context.cache.dependencies) { id -> context.cache.job(id)?.let(::demand) }
-
-    private fun demand(job: Job) =
-        JobDemand(
-            job.spec.priority,
-            job.spec.deadlineS?.let { job.submittedUs + (it * SECOND).toLong() },
-            (job.spec.estimateS * SECOND).toLong(),
-        )
+    /** When each released job was first seen to be so, time of day. */
+    private val releasedSinceUs = HashMap<JobId, Micros>()
 
+    /** The urgency of [job]; its latest start is a time of day. */
     fun of(job: Job): Urgency {
-        // The records may have been read anew.
-        if (cache !== context.cache) {
-            cache = context.cache
-            paths = paths()
-        }
-        val isNeeded =
+        followCache()
+        val hasSuccessors =
             context.cache.dependencies
                 .successors(job.id)
                 .isNotEmpty()
-        return paths.takeIf { isNeeded }?.urgency(job.id) ?: demand(job).let { Urgency(it.priority, it.dueUs?.minus(it.runUs)) }
+        val inherited = if (hasSuccessors) criticalPaths.urgency(job.id) else null
+        return inherited ?: demand(job).ownUrgency()
     }
 
     /**
@@ -48,11 +37,30 @@
      */
     fun readySinceUs(job: Job): Micros {
         if (job.spec.predecessorIds.isEmpty()) return job.submittedUs
-        if (readySince.size > MOST_KNOWN) readySince.keys.removeIf { context.cache.job(it) == null }
-        return readySince.getOrPut(job.id) { context.wall }
+        if (releasedSinceUs.size > MAX_RELEASED_JOBS) releasedSinceUs.keys.removeIf { context.cache.job(it) == null }
+        return releasedSinceUs.getOrPut(job.id) { context.wall }
+    }
+
+    /** The records may have been read anew, with a new graph. */
+    private fun followCache() {
+        if (cache === context.cache) return
+        cache = context.cache
+        criticalPaths = newCriticalPaths()
     }
 
+    private fun newCriticalPaths() = CriticalPaths(context.cache.dependencies) { id -> context.cache.job(id)?.let(::demand) }
+
+    private fun demand(job: Job) =
+        JobDemand(
+            job.spec.priority,
+            job.spec.deadlineS?.let { job.submittedUs + (it * SECOND).toLong() },
+            (job.spec.estimateS * SECOND).toLong(),
+        )
+
+    private fun JobDemand.ownUrgency() = Urgency(priority, dueUs?.minus(runUs))
+
     private companion object {
-        const val MOST_KNOWN = 2_000
+        /** Beyond it jobs that are over are forgotten. */
+        const val MAX_RELEASED_JOBS = 2_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
@@ -11,57 +11,64 @@
 import mintpick.wire.Guard
 
 /**
- * Removes records that nothing refers to any more: specifications kept apart from the main records of jobs that are over,
- * or whose submission was never finished. Housekeeping only, which waits until there are writes to spare.
+ * Removes records that nothing refers to any more: specifications in separate records of jobs that are over, or whose
+ * submission was never finished. Housekeeping only, which waits until there are writes to spare. Event-loop thread only.
  */
 class RecordSweeper(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val shardClaims: ShardClaims,
-    private val userRequests: UserRequests,
+    private val pendingRequests: PendingRequests,
 ) {
-    /** Since when each specification has been without an open job. */
-    private val unusedSince = HashMap<JobId, Micros>()
-    private var nextUs: Micros = 0
-    private var busy = false
+    /** Since when each separate specification has been without an open job. */
+    private val unusedSinceUs = HashMap<JobId, Micros>()
+    private var nextSweepUs: Micros = 0
+    private var isRemoving = false
 
     private val cache get() = context.cache
 
+    /** Removes the records of at most one job. */
     fun tick() {
-        if (!stateStore.serving || !stateStore.reachable || context.now < nextUs) return
-        nextUs = context.now + EVERY
-        val unused = cache.specsApart.filter { cache.job(it) == null && it !in userRequests.submissions }.toSet()
-        unusedSince.keys.retainAll(unused)
-        unused.forEach { unusedSince.putIfAbsent(it, context.now) }
-        val due =
-            unusedSince
-                .filter { (id, since) ->
-                    context.now - since > patience(id) &&
-                        shardClaims.preferredController(id) == context.me
-                }.keys
-        due.firstOrNull()?.let(::remove)
+        if (!stateStore.serving || !stateStore.reachable || context.now < nextSweepUs) return
+        nextSweepUs = context.now + SWEEP_INTERVAL
+        noteUnused()
+        unusedSinceUs.keys.firstOrNull(::isDue)?.let(::remove)
+    }
+
+    private fun noteUnused() {
+        val unused = cache.specsApart.filter { cache.job(it) == null && it !in pendingRequests.submissions }.toSet()
+        unusedSinceUs.keys.retainAll(unused)
+        unused.forEach { unusedSinceUs.putIfAbsent(it, context.now) }
+    }
+
+    private fun isDue(job: JobId): Boolean {
+        val sinceUs = unusedSinceUs[job] ?: return false
+        return context.now - sinceUs > retention(job) && shardClaims.preferredController(job) == context.me
     }
 
     /** A user who was not told of the acceptance may submit the same job again for a minute. */
-    private fun patience(job: JobId): Micros = if (cache.final(job) == null) UNFINISHED else EVERY
+    private fun retention(job: JobId): Micros = if (cache.final(job) == null) UNFINISHED_RETENTION else FINAL_RETENTION
 
     private fun remove(job: JobId) {
-        if (busy || stateStore.writesAllowed() < SPARE_WRITES) return
+        if (isRemoving || stateStore.writesAllowed() < SPARE_WRITES) return
         val keys =
             cache
                 .specPiecesOf(job)
                 .sortedDescending()
                 .take(context.settings.limits.transactionOps)
                 .map { Keys.spec(job.text, it) }
-        busy = true
+        isRemoving = true
         // The job may have been stored by another controller at this moment: then nothing is removed.
         val guards = (keys + Keys.job(job.text)).map { Guard(it, cache.version(it)) }
-        stateStore.transact(guards, keys.map { Write(it, null) }) { busy = false }
+        stateStore.transact(guards, keys.map { Write(it, null) }) { isRemoving = false }
     }
 
     private companion object {
-        const val EVERY: Micros = 2 * SECOND
-        const val UNFINISHED: Micros = 120 * SECOND
+        const val SWEEP_INTERVAL: Micros = 2 * SECOND
+        const val FINAL_RETENTION: Micros = 2 * SECOND
+        const val UNFINISHED_RETENTION: Micros = 120 * SECOND
+
+        /** Writes that must be allowed beyond what others use before anything is removed. */
         const val SPARE_WRITES = 3
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/jobs/SubmissionWriter.kt
@@ -0,0 +1,49 @@
+package mintpick.engine.jobs
+
+import mintpick.core.Job
+import mintpick.core.JobId
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.Write
+import mintpick.engine.transactions.TransactionPart
+import mintpick.store.Keys
+import mintpick.store.RecordCodec
+import mintpick.wire.Guard
+import mintpick.wire.StoredStage
+
+/** Builds the first records of submitted jobs. Sends nothing. Event-loop thread only. */
+internal class SubmissionWriter(
+    private val context: EngineContext,
+    private val formats: FormatGate,
+    private val specStorage: SpecStorage,
+    private val pendingRequests: PendingRequests,
+    private val availability: JobAvailability,
+) {
+    /** What stores the pending submissions that are not in flight, the oldest first. */
+    fun parts(): List<TransactionPart> =
+        pendingRequests.submissions
+            .filter { (id, pending) -> !pending.isInFlight && availability.isFree(id) && !context.cache.knows(id) }
+            .map { (id, pending) -> partOf(id, pending) }
+
+    /** The main record of a submission, or pieces of its specification if they have to be stored before it. */
+    private fun partOf(
+        id: JobId,
+        pending: PendingSubmission,
+    ): TransactionPart {
+        val submitted = Job(id, pending.spec, StoredStage.OPEN, context.wall, 0, emptyMap())
+        return specStorage.fitValues(submitted, submitted) { job -> mainRecord(job, pending) }
+    }
+
+    private fun mainRecord(
+        job: Job,
+        pending: PendingSubmission,
+    ): TransactionPart {
+        val key = Keys.job(job.id.text)
+        return TransactionPart(
+            job = job.id,
+            guards = specStorage.pieceGuards(job) + Guard(key, 0),
+            writes = listOf(Write(key, RecordCodec.jobJson(job, formats.current))),
+            listener = pendingRequests.submissionListener(job.id, pending),
+        )
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -0,0 +1,215 @@
+package mintpick.engine.jobs
+
+import mintpick.core.AttemptId
+import mintpick.core.JobId
+import mintpick.core.Micros
+import mintpick.core.SECOND
+import mintpick.core.demand
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
+import mintpick.engine.transactions.TransactionBatch
+import mintpick.engine.transactions.TransactionLimits
+import mintpick.engine.transactions.TransactionPart
+import mintpick.store.Keys
+import mintpick.store.TransactionResult
+import mintpick.wire.Guard
+import mintpick.wire.ReservationRecord
+import mintpick.wire.WireJson
+import org.slf4j.LoggerFactory
+
+/**
+ * Batches parts into transactions, sends as many as the limits allow, a few at a time, and handles their outcomes.
+ * Event-loop thread only.
+ */
+internal class TransactionSender(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+    private val commandPlanner: CommandPlanner,
+    private val formats: FormatGate,
+    private val limits: TransactionLimits,
+) {
+    /** A transaction whose outcome is not known yet. */
+    private class InFlight(
+        val parts: List<TransactionPart>,
+        val limitedTeams: Set<String>,
+    ) {
+        val jobs: List<JobId> = parts.map { it.job }
+        val requeued: List<AttemptId> = parts.flatMap { it.requeued }
+    }
+
+    private val cache get() = context.cache
+    private val limitedTeamsInFlight = HashSet<String>()
+
+    /** Until when each job gets a transaction of its own, since several together were too large. */
+    private var singleJobUntilUs: Micros = 0
+
+    /** Which jobs may be planned. */
+    val availability = JobAvailability(context)
+
+    /** Resources of machines that placements in flight take. */
+    val reservations = MachineReservations()
+
+    /** Whether at least one transaction may leave now. */
+    val canSend: Boolean get() =
+        stateStore.serving &&
+            stateStore.reachable &&
+            stateStore.transactionsOpen < MAX_TRANSACTIONS_IN_FLIGHT &&
+            stateStore.writesAllowed() > 0
+
+    /** Whether no placement of [team] that raises its reservation is in flight. */
+    fun isTeamFree(team: String): Boolean = team !in limitedTeamsInFlight
+
+    /**
+     * Sends [parts] in this order until a limit is reached, leaving [reservedWrites] of the allowed writes unused.
+     * Returns the parts that were sent; the others have to be planned again.
+     */
+    fun send(
+        parts: List<TransactionPart>,
+        reservedWrites: Int,
+    ): List<TransactionPart> {
+        val sent = ArrayList<TransactionPart>()
+        var batch = newBatch()
+        for (part in parts) {
+            if (!batch.isEmpty && !batch.hasRoomFor(part)) {
+                transact(batch.parts)
+                batch = newBatch()
+            }
+            if (!mayWrite(batch, part, reservedWrites)) break
+            if (batch.hasRoomFor(part) && part.valuesFit(formats.valueBytes)) {
+                batch.add(part)
+                sent += part
+            } else {
+                LOG.error("change of job={} fits no transaction: {} B", part.job.text, part.bytes)
+            }
+        }
+        if (!batch.isEmpty) transact(batch.parts)
+        return sent
+    }
+
+    private fun newBatch() = TransactionBatch(limits, takesSeveral = context.now >= singleJobUntilUs)
+
+    /** Whether the limits of transactions and writes allow [batch] with [part]; a part that is larger alone may go when one write is left. */
+    private fun mayWrite(
+        batch: TransactionBatch,
+        part: TransactionPart,
+        reservedWrites: Int,
+    ): Boolean {
+        if (stateStore.transactionsOpen >= MAX_TRANSACTIONS_IN_FLIGHT) return false
+        return batch.writesWith(part) <= maxOf(1, stateStore.writesAllowed() - reservedWrites)
+    }
+
+    private fun transact(parts: List<TransactionPart>) {
+        val writes = LinkedHashMap<String, Write>()
+        parts.forEach { part -> part.writes.forEach { writes[it.key] = it } }
+        val guards = LinkedHashSet<Guard>()
+        parts.forEach { guards += it.guards }
+        val transaction = InFlight(parts, reserveTeams(parts, guards, writes))
+        begin(transaction)
+        stateStore.transact(guards.toList(), writes.values.toList()) { result ->
+            end(transaction)
+            settleRequeues(transaction.requeued, result)
+            handle(result, parts)
+        }
+    }
+
+    private fun begin(transaction: InFlight) {
+        availability.begin(transaction.jobs)
+        limitedTeamsInFlight += transaction.limitedTeams
+        transaction.parts.forEach { reservations.reserve(it.placementDemands) }
+        transaction.parts.forEach { it.listener.onSent() }
+        commandPlanner.requeueSent(transaction.requeued)
+    }
+
+    private fun end(transaction: InFlight) {
+        availability.end(transaction.jobs)
+        limitedTeamsInFlight -= transaction.limitedTeams
+        transaction.parts.forEach { reservations.release(it.placementDemands) }
+    }
+
+    private fun settleRequeues(
+        requeued: List<AttemptId>,
+        result: TransactionResult,
+    ) {
+        when (result) {
+            is TransactionResult.Committed -> Unit
+            TransactionResult.Unknown -> commandPlanner.requeueUnknown(requeued)
+            else -> commandPlanner.requeueFailed(requeued)
+        }
+    }
+
+    private fun handle(
+        result: TransactionResult,
+        parts: List<TransactionPart>,
+    ) {
+        when (result) {
+            is TransactionResult.Committed -> parts.forEach { it.listener.onCommitted() }
+            is TransactionResult.Conflict -> onConflict(parts, result)
+            TransactionResult.TooLarge -> onTooLarge(parts)
+            TransactionResult.Refused, TransactionResult.LeaseGone -> notCommitted(parts)
+            TransactionResult.Unknown -> {
+                // It may be carried out later: its guards keep that harmless.
+                notCommitted(parts)
+                stateStore.caughtUp { }
+            }
+        }
+    }
+
+    private fun notCommitted(parts: List<TransactionPart>) = parts.forEach { it.listener.onNotCommitted() }
+
+    /** Jobs whose guards failed wait until the watch has brought the conflicting change. */
+    private fun onConflict(
+        parts: List<TransactionPart>,
+        result: TransactionResult.Conflict,
+    ) {
+        LOG.debug("conflict keys={} revision={}", result.failed, result.revision)
+        val failed = result.failed.toSet()
+        for (part in parts) {
+            part.listener.onNotCommitted()
+            val isOutdated = part.guards.any { it.key in failed }
+            if (isOutdated) availability.waitForRevision(part.job, result.revision)
+        }
+        stateStore.caughtUp { }
+    }
+
+    /** Several jobs together were too large: they go one by one. One job alone was: it waits, the same again would fare no better. */
+    private fun onTooLarge(parts: List<TransactionPart>) {
+        notCommitted(parts)
+        if (parts.size > 1) {
+            singleJobUntilUs = context.now + SINGLE_JOB_PERIOD
+        } else {
+            parts.forEach { availability.pauseOversized(it.job) }
+        }
+    }
+
+    /**
+     * Placements of teams with a limit raise the team's reservation, whose guard makes sure that the sum they were judged
+     * by is current. Adds its guards and writes; returns these teams.
+     */
+    private fun reserveTeams(
+        parts: List<TransactionPart>,
+        guards: MutableSet<Guard>,
+        writes: MutableMap<String, Write>,
+    ): Set<String> {
+        val teams = HashSet<String>()
+        for (part in parts) {
+            val team = part.limitedTeam ?: continue
+            val spec = cache.job(part.job)?.spec ?: continue
+            if (!teams.add(team)) continue
+            val key = Keys.team(spec.team)
+            guards += Guard(key, cache.version(key))
+            val used = cache.usedBy(spec.team) + spec.demand
+            val record = ReservationRecord(used.cpus, used.gpus)
+            writes[key] = Write(key, WireJson.encodeToJsonElement(ReservationRecord.serializer(), record))
+        }
+        return teams
+    }
+
+    private companion object {
+        val LOG = LoggerFactory.getLogger(TransactionSender::class.java)
+        const val MAX_TRANSACTIONS_IN_FLIGHT = 4
+        const val SINGLE_JOB_PERIOD: Micros = 30 * SECOND
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
@@ -0,0 +1,62 @@
+package mintpick.engine.membership
+
+import kotlinx.serialization.json.JsonElement
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.engine.state.Write
+import mintpick.store.Keys
+import mintpick.store.TransactionResult
+import mintpick.wire.ClaimRecord
+import mintpick.wire.WireJson
+import org.slf4j.LoggerFactory
+
+/** Writes and deletes claims by compare-and-swap; each record is in one open transaction at a time. */
+internal class ClaimWriter(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+) {
+    private val openKeys = HashSet<String>()
+
+    /**
+     * Claims the [targets] that are in no open transaction, as many as one transaction carries, and raises the epochs of
+     * the shards [raisedEpochs] with them. [then] hears whether that was committed: not without a lease, nor while the
+     * limits allow no write.
+     */
+    fun claim(
+        targets: List<ClaimTarget>,
+        reason: String,
+        raisedEpochs: Set<Int> = emptySet(),
+        then: (isCommitted: Boolean) -> Unit = {},
+    ) {
+        val record = claimRecord() ?: return then(false)
+        val maxTargets = maxOf(1, context.settings.limits.transactionOps - raisedEpochs.size)
+        val open = targets.filter { it.key !in openKeys }.take(maxTargets)
+        if (open.isEmpty() || stateStore.writesAllowed() < 1) return then(false)
+        val keys = open.map { it.key }
+        openKeys += keys
+        val claims = keys.map { Write(it, record, leased = true) }
+        val epochs = raisedEpochs.map { Write(Keys.epoch(it), record) }
+        stateStore.transact(open.map { it.guard }, claims + epochs) { result ->
+            openKeys -= keys.toSet()
+            if (result is TransactionResult.Committed) {
+                LOG.info("claimed keys={} token={} reason={}", keys.map { it.removePrefix(Keys.ROOT) }, result.revision, reason)
+            }
+            then(result is TransactionResult.Committed)
+        }
+    }
+
+    /** Deletes the record of [target], unless it is in an open transaction. */
+    fun delete(target: ClaimTarget) {
+        if (!openKeys.add(target.key)) return
+        stateStore.transact(listOf(target.guard), listOf(Write(target.key, null))) { openKeys.remove(target.key) }
+    }
+
+    private fun claimRecord(): JsonElement? {
+        val lease = stateStore.lease ?: return null
+        return WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord(context.me.text, lease))
+    }
+
+    private companion object {
+        val LOG = LoggerFactory.getLogger(ClaimWriter::class.java)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
@@ -0,0 +1,104 @@
+package mintpick.engine.membership
+
+import mintpick.core.MachineId
+import mintpick.core.Micros
+import mintpick.core.NodeId
+import mintpick.core.SECOND
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.store.Keys
+
+/** Takes control of single machines, raises their fencing tokens and gives control back; see [ShardClaims] for each function. */
+internal class MachineControl(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+    private val directory: ShardDirectory,
+    private val writer: ClaimWriter,
+    private val contact: ClusterContact,
+) {
+    private val raisedAt = HashMap<String, Micros>()
+
+    /** Who waits for the decision on the open failover of a shard. */
+    private val failoverWaiters = HashMap<Int, MutableList<() -> Unit>>()
+    private val cache get() = context.cache
+
+    /** See [ShardClaims.takeOver]. */
+    fun takeOver(
+        machine: MachineId,
+        whole: Boolean,
+        from: NodeId,
+        reason: String,
+        then: () -> Unit,
+    ) {
+        val claim = directory.control(machine)
+        val shard = directory.shard(machine)
+        // Another controller may have taken it over while we asked the machine.
+        if (claim == null || shard == null || claim.node != from) return then()
+        if (!whole || machine in cache.borrows) {
+            writer.claim(listOf(borrowTarget(machine)), reason, setOf(shard)) { then() }
+        } else {
+            takeOverShard(shard, claim.version, reason, then)
+        }
+    }
+
+    /** Hundreds of machines of a shard ask for it at once: one transaction decides for all of them. */
+    private fun takeOverShard(
+        shard: Int,
+        version: Long,
+        reason: String,
+        then: () -> Unit,
+    ) {
+        val waiters = failoverWaiters.getOrPut(shard) { ArrayList() }
+        waiters += then
+        if (waiters.size > 1) return
+        writer.claim(listOf(ClaimTarget(Keys.shard(shard), version)), reason) {
+            failoverWaiters.remove(shard)?.forEach { it() }
+        }
+    }
+
+    /** See [ShardClaims.raise]. */
+    fun raise(
+        machine: MachineId,
+        reason: String,
+    ) {
+        val claim = directory.control(machine)
+        val key = directory.controlKey(machine)
+        if (claim == null || key == null || !directory.isMine(claim)) return
+        if (context.now - (raisedAt[key] ?: -MIN_RAISE_INTERVAL) < MIN_RAISE_INTERVAL) return
+        raisedAt[key] = context.now
+        writer.claim(listOf(ClaimTarget(key, claim.version)), reason)
+    }
+
+    /** See [ShardClaims.borrow]. */
+    fun borrow(
+        machines: Collection<MachineId>,
+        then: (MachineId) -> Unit,
+    ) {
+        if (!directory.isLeader || !contact.reachesAgents) return
+        // Each machine needs up to two writes: its own and its shard's epoch.
+        val maxMachines = maxOf(1, context.settings.limits.transactionOps / 2)
+        // A machine that another controller has borrowed is taken from it in the same way.
+        val wanted = machines.filter { !directory.controls(it) && directory.shard(it) != null }.take(maxMachines)
+        if (wanted.isEmpty()) return
+        val shards = wanted.mapNotNullTo(HashSet()) { directory.shard(it) }
+        writer.claim(wanted.map(::borrowTarget), "borrowed", shards) { isCommitted ->
+            if (isCommitted) {
+                // Starts a catch-up, so that the records soon show all that the owners had placed there.
+                stateStore.caughtUp { }
+                wanted.forEach(then)
+            }
+        }
+    }
+
+    /** See [ShardClaims.giveBack]. */
+    fun giveBack(machine: MachineId) {
+        if (machine in cache.borrows) writer.delete(borrowTarget(machine))
+    }
+
+    private fun borrowTarget(machine: MachineId) = ClaimTarget(Keys.borrow(machine.text), cache.borrows[machine]?.version ?: 0)
+
+    private companion object {
+        /** Between two raises of the same record's token. */
+        const val MIN_RAISE_INTERVAL: Micros = 2 * SECOND
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
@@ -0,0 +1,90 @@
+package mintpick.engine.membership
+
+import com.google.common.hash.Hashing
+import mintpick.core.JobId
+import mintpick.core.MachineId
+import mintpick.core.NodeId
+import mintpick.engine.cache.Claim
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.store.Keys
+import mintpick.wire.Guard
+
+/** Which shard a machine belongs to, and who holds which shard, by the committed claims. */
+internal class ShardDirectory(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+) {
+    private val zones = context.settings.zones
+    private val shardByMachine = HashMap<MachineId, Int>()
+    private val cache get() = context.cache
+
+    /** How many shards there are: each partition has one in every zone. */
+    val shardCount: Int = ShardClaims.PARTITIONS * zones.size
+
+    /** Whether this controller is the leader. */
+    val isLeader: Boolean get() = isMine(cache.leader)
+
+    /** The partition that a machine or job hashes into, in every zone. */
+    fun partition(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
+
+    /** Notes the zone of [machine], which it keeps; before that nobody commands it. */
+    fun register(
+        machine: MachineId,
+        zone: String,
+    ) {
+        shardByMachine.getOrPut(machine) { maxOf(0, zones.indexOf(zone)) * ShardClaims.PARTITIONS + partition(machine.text) }
+    }
+
+    /** Forgets the zone of [machine]. */
+    fun forget(machine: MachineId) {
+        shardByMachine.remove(machine)
+    }
+
+    /** The shard of [machine]; null: its zone is not known. */
+    fun shard(machine: MachineId): Int? {
+        shardByMachine[machine]?.let { return it }
+        register(machine, cache.machines[machine]?.record?.zone ?: return null)
+        return shardByMachine[machine]
+    }
+
+    /** See [ShardClaims.control]. */
+    fun control(machine: MachineId): Claim? {
+        cache.borrows[machine]?.let { return it }
+        val claim = shard(machine)?.let { cache.claims[it] } ?: return null
+        return claim.takeUnless { isSuperseded(machine, it) }
+    }
+
+    /** Whether [claim], of the shard of [machine], is older than the end of a borrowing of the machine. */
+    fun isSuperseded(
+        machine: MachineId,
+        claim: Claim,
+    ): Boolean = claim.version < (cache.borrowEnds[machine] ?: 0)
+
+    /** Key of the record that control of [machine] is claimed by; null: its zone is not known. */
+    fun controlKey(machine: MachineId): String? =
+        if (machine in cache.borrows) Keys.borrow(machine.text) else shard(machine)?.let { Keys.shard(it) }
+
+    /** Whether [claim] is held by this process: not one of an earlier process under the same name, whose lease differs. */
+    fun isMine(claim: Claim?): Boolean = claim != null && claim.node == context.me && claim.lease == stateStore.lease
+
+    /** Whether this controller commands [machine]. */
+    fun controls(machine: MachineId): Boolean = isMine(control(machine))
+
+    /** See [ShardClaims.preferredController]. */
+    fun preferredController(job: JobId): NodeId? = cache.claims[partition(job.text)]?.node
+
+    /** Whether the lease of [node] holds. */
+    fun isLive(node: NodeId): Boolean = node == context.me || node in cache.nodes
+
+    /** See [ShardClaims.guards]. */
+    fun guards(machine: MachineId): List<Guard> {
+        val borrow = cache.borrows[machine]
+        if (borrow != null) return listOf(Guard(Keys.borrow(machine.text), borrow.version))
+        val shard = shard(machine) ?: return emptyList()
+        return listOf(
+            Guard(Keys.shard(shard), cache.claims[shard]?.version ?: 0),
+            Guard(Keys.epoch(shard), cache.version(Keys.epoch(shard))),
+        )
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
@@ -0,0 +1,132 @@
+package mintpick.engine.membership
+
+import mintpick.core.MILLI
+import mintpick.core.Micros
+import mintpick.core.NodeId
+import mintpick.core.SECOND
+import mintpick.engine.cache.Claim
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.StateStoreClient
+import mintpick.store.Keys
+
+/** Claims shards and the leadership for this controller, so that each controller gets its share of every zone. */
+internal class ShardRebalancer(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+    private val directory: ShardDirectory,
+    private val claimAges: ClaimAges,
+    private val writer: ClaimWriter,
+    private val contact: ClusterContact,
+) {
+    private val cache get() = context.cache
+    private val configuredNodes = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
+    private val isStarting: Boolean get() = context.now - stateStore.servingSinceUs <= START_PERIOD
+
+    /** Claims what this controller is to hold and does not. */
+    fun tick() {
+        claimLeader()
+        restoreShards()
+        restoreBorrows()
+        renewSuperseded()
+        claimFree()
+        rebalance()
+    }
+
+    private fun claimLeader() {
+        val leader = cache.leader
+        // Our own earlier process held it: nobody else can.
+        if (leader == null || isOfEarlierProcess(leader)) {
+            writer.claim(listOf(ClaimTarget(Keys.LEADER, leader?.version ?: 0)), "leader")
+        }
+    }
+
+    private fun isOfEarlierProcess(claim: Claim): Boolean = claim.node == context.me && claim.lease != stateStore.lease
+
+    /** Claims of this node's earlier process are written anew: their lease is about to end. */
+    private fun restoreShards() {
+        val stale = cache.claims.filterValues(::isOfEarlierProcess)
+        if (stale.isNotEmpty()) writer.claim(shardTargets(stale), "restored")
+    }
+
+    /** As [restoreShards], for borrowed machines. */
+    private fun restoreBorrows() {
+        val stale = cache.borrows.filterValues(::isOfEarlierProcess)
+        val targets = stale.map { (machine, claim) -> ClaimTarget(Keys.borrow(machine.text), claim.version) }
+        if (targets.isNotEmpty()) writer.claim(targets, "restored")
+    }
+
+    /** Own claims that a borrowing has superseded are written anew, so that their token exceeds the borrower's. */
+    private fun renewSuperseded() {
+        val shards =
+            cache.borrowEnds.keys.mapNotNullTo(HashSet()) { machine ->
+                directory.shard(machine)?.takeIf { shard ->
+                    val claim = cache.claims[shard]
+                    claim != null && directory.isMine(claim) && directory.isSuperseded(machine, claim)
+                }
+            }
+        val targets = shards.map { ClaimTarget(Keys.shard(it), cache.claims[it]?.version ?: 0) }
+        if (targets.isNotEmpty()) writer.claim(targets, "superseded")
+    }
+
+    private fun claimFree() {
+        val free = (0 until directory.shardCount).filter { it !in cache.claims }
+        if (free.isEmpty()) return
+        // Just after a start the others are about to come, too: each takes what it is preferred for among all.
+        val nodes = if (isStarting) configuredNodes else liveNodes()
+        val held = cache.claims.values.count { it.node == context.me }
+        val share = ceilDiv(directory.shardCount, maxOf(1, nodes.size))
+        val maxWait = maxWaitForPreferred(nodes)
+        val wanted = free.filter { preferredNode(it, nodes) == context.me || claimAges.unclaimedForUs(it) > maxWait }
+        val targets = wanted.take((share - held).coerceAtLeast(0)).map { ClaimTarget(Keys.shard(it), 0) }
+        if (targets.isNotEmpty()) writer.claim(targets, "free")
+    }
+
+    /** For how long a free shard is left to the node that it is preferred for; the others then try one after the other. */
+    private fun maxWaitForPreferred(nodes: List<NodeId>): Micros {
+        val rank = nodes.indexOf(context.me).coerceAtLeast(0)
+        return (rank + 1) * STAGGER + if (isStarting) START_PERIOD else 0
+    }
+
+    /** Claims of long standing are taken back by their preferred nodes, so that each controller has its share of every zone. */
+    private fun rebalance() {
+        // Only while all are in touch: so what each is to hold does not change with those that come and go.
+        if (context.now - stateStore.servingSinceUs < START_PERIOD || !contact.hearsAllPeers || !contact.reachesAgents) return
+        val misplaced = cache.claims.filter { (shard, claim) -> isMisplaced(shard, claim) }
+        if (misplaced.isNotEmpty()) writer.claim(shardTargets(misplaced), "rebalanced")
+    }
+
+    private fun isMisplaced(
+        shard: Int,
+        claim: Claim,
+    ): Boolean {
+        val isPreferredHere = claim.node != context.me && preferredNode(shard, configuredNodes) == context.me
+        return isPreferredHere && (claimAges.unchangedForUs(shard) ?: 0) > MIN_CLAIM_AGE
+    }
+
+    private fun liveNodes(): List<NodeId> = cache.nodes.keys.sortedBy { it.text }
+
+    /** Which of [nodes] holds [shard] once all claims are balanced. */
+    private fun preferredNode(
+        shard: Int,
+        nodes: List<NodeId>,
+    ): NodeId? = if (nodes.isEmpty()) null else nodes[shard % ShardClaims.PARTITIONS % nodes.size]
+
+    private fun shardTargets(claims: Map<Int, Claim>): List<ClaimTarget> =
+        claims.map { (shard, claim) -> ClaimTarget(Keys.shard(shard), claim.version) }
+
+    private fun ceilDiv(
+        dividend: Int,
+        divisor: Int,
+    ): Int = (dividend + divisor - 1) / divisor
+
+    private companion object {
+        /** Within it after the join, other controllers are expected to join too. */
+        const val START_PERIOD: Micros = 3 * SECOND
+
+        /** Between the attempts of controllers at a shard that none of them is preferred for. */
+        const val STAGGER: Micros = 300 * MILLI
+
+        /** For how long a claim has stood at least before it is taken from its holder. */
+        const val MIN_CLAIM_AGE: Micros = 25 * SECOND
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
@@ -0,0 +1,94 @@
+package mintpick.engine.scheduling
+
+import mintpick.core.Job
+import mintpick.core.MILLI
+import mintpick.core.Micros
+import mintpick.core.NodeId
+import mintpick.core.Placer
+import mintpick.core.SECOND
+import mintpick.core.isGang
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+
+/**
+ * Which controller places which job, and on whose machines: the split of the project's design, on top of "Ai2 replaces GPU
+ * priority scheduling with time budgets and fair share". Event-loop thread only.
+ */
+class ControllerSelection(
+    private val context: EngineContext,
+    private val shardClaims: ShardClaims,
+    private val health: ControllerHealth,
+) {
+    private val controllers = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
+
+    /**
+     * Where this controller may place [job], whose record has not changed for [unchangedUs]; null if others place it.
+     *
+     * The preferred controller places a job on the machines of its own shards; the leader takes what no controller's shards can
+     * hold as a whole, from everybody's machines. Exception: what the preferred controller has had no room for may be placed by
+     * another controller on its own machines, see docs/design.md.
+     */
+    fun roomsFor(
+        job: Job,
+        unchangedUs: Micros,
+        rooms: PassRooms,
+    ): Placer.Rooms? {
+        if (shardClaims.isLeader && needsAllMachines(job, unchangedUs, rooms)) return rooms.all
+        val preferred = shardClaims.preferredController(job.id)
+        if (preferred == context.me || preferred == null) return rooms.own
+        return if (mayHelp(job, preferred, unchangedUs)) rooms.own else null
+    }
+
+    private fun needsAllMachines(
+        job: Job,
+        unchangedUs: Micros,
+        rooms: PassRooms,
+    ): Boolean {
+        if (!isLarge(job, unchangedUs)) return false
+        // Our machines may hold a gang, were they empty, and never be empty at the same time.
+        val waitsInVain = job.spec.isGang && unchangedUs >= LARGE_AFTER
+        return waitsInVain || !rooms.own.couldHold(job.spec, job.waiting)
+    }
+
+    /** Placed whole or not at all, or in vain for a while. */
+    private fun isLarge(
+        job: Job,
+        unchangedUs: Micros,
+    ): Boolean {
+        if (unchangedUs < SECOND_HELPER_AFTER) return false
+        return job.spec.isGang || job.spec.oneZone || unchangedUs >= LARGE_AFTER
+    }
+
+    /** Whether this controller may place what [preferred] has no room for; one helper later, so that two rarely write at once. */
+    private fun mayHelp(
+        job: Job,
+        preferred: NodeId,
+        unchangedUs: Micros,
+    ): Boolean {
+        val delay = if (isFirstHelper(job, preferred)) FIRST_HELPER_AFTER else SECOND_HELPER_AFTER
+        return health.lacksRoom(preferred) && unchangedUs >= delay
+    }
+
+    /** The job's id picks which of the two other controllers helps first. */
+    private fun isFirstHelper(
+        job: Job,
+        preferred: NodeId,
+    ): Boolean {
+        val picked = Math.floorMod(job.id.text.hashCode(), 2)
+        return picked == if (isNextAfter(preferred)) 0 else 1
+    }
+
+    private fun isNextAfter(controller: NodeId): Boolean {
+        val next = (controllers.indexOf(controller) + 1) % controllers.size
+        return controllers[next] == context.me
+    }
+
+    private companion object {
+        const val FIRST_HELPER_AFTER: Micros = 200 * MILLI
+        const val SECOND_HELPER_AFTER: Micros = 1_500 * MILLI
+
+        /** An array that fits on no controller's machines is the leader's only then: while a cluster boots, nothing fits anywhere. */
+        const val LARGE_AFTER: Micros = 15 * SECOND
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
@@ -0,0 +1,46 @@
+package mintpick.engine.scheduling
+
+import mintpick.core.Contract
+import mintpick.core.Job
+import mintpick.core.JobId
+import mintpick.core.Micros
+import mintpick.core.Resources
+import mintpick.core.SECOND
+import mintpick.core.demand
+import mintpick.engine.runtime.EngineContext
+import mintpick.wire.StoredStage
+
+/** Jobs that their teams' guarantees pay for, judged anew ten times a second. Jobs that wait for others are left out. */
+internal class FundedJobs(
+    private val context: EngineContext,
+) {
+    private var judgedUs: Micros = -REFRESH_INTERVAL
+    private var funded: Set<JobId> = emptySet()
+
+    operator fun contains(job: JobId): Boolean {
+        if (context.now - judgedUs >= REFRESH_INTERVAL) {
+            judgedUs = context.now
+            funded = judge()
+        }
+        return job in funded
+    }
+
+    private fun judge(): Set<JobId> {
+        val byTeam =
+            context.cache.jobs
+                .filter { it.stage == StoredStage.OPEN && it.isReleased }
+                .groupBy { it.spec.team }
+        return context.settings.teams.flatMapTo(HashSet()) { team ->
+            val guarantee = Resources(team.cpus, team.gpus, 0.0)
+            val jobs = byTeam[team.name].orEmpty().sortedWith(SUBMITTED_FIRST)
+            Contract.funded(guarantee, jobs.map { it.id to unfinishedDemand(it) })
+        }
+    }
+
+    private fun unfinishedDemand(job: Job): Resources = job.spec.demand * (job.spec.tasks - job.done).toDouble()
+
+    private companion object {
+        const val REFRESH_INTERVAL: Micros = SECOND / 10
+        val SUBMITTED_FIRST = compareBy<Job> { it.submittedUs }.thenBy { it.id.text }
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -0,0 +1,192 @@
+package mintpick.engine.scheduling
+
+import mintpick.core.Job
+import mintpick.core.MachineId
+import mintpick.core.Micros
+import mintpick.core.Placer
+import mintpick.core.SECOND
+import mintpick.core.demand
+import mintpick.core.isGang
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.Reconciler
+import mintpick.engine.jobs.JobUrgency
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.transactions.JobUpdate
+import mintpick.wire.Priority
+import mintpick.wire.StoredStage
+import org.slf4j.LoggerFactory
+
+/** A task, by its index in its job, and the machine chosen for it. */
+internal data class TaskPlacement(
+    val task: Int,
+    val machine: MachineId,
+)
+
+/**
+ * Places the tasks of one job: picks machines, and drafts the assignments. Event-loop thread only.
+ *
+ * @param placementSample how many machines with room are compared for one job
+ */
+class JobPlacer(
+    private val context: EngineContext,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val reconciler: Reconciler,
+    private val candidates: MachineCandidates,
+    private val jobUrgency: JobUrgency,
+    placementSample: Int,
+) {
+    private val placer = Placer(context.random, placementSample)
+
+    /** Each borrowed machine has a guard of its own, of which a transaction holds only so many. */
+    private val maxBorrowedMachines = context.settings.limits.transactionOps
+    private val cache get() = context.cache
+
+    /**
+     * Places up to [startable] tasks of [job] on [rooms], one view of the rooms of [pass]. Returns how many were drafted: 0
+     * also where room was found and is held, but a write, a borrowed machine or the next round of parts is waited for.
+     */
+    fun place(
+        job: Job,
+        startable: Int,
+        rooms: Placer.Rooms,
+        pass: PlacementPass,
+    ): Int {
+        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return 0
+        val limit = minOf(pass.teams.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
+        if (limit <= 0) return 0
+        val found = findMachines(job, limit, rooms, pass)
+        if (found.isEmpty()) return 0
+        // Gangs start whole or not at all.
+        if (job.spec.isGang && found.size < job.waiting) return 0
+        hold(found, job, rooms, pass)
+        if (!pass.hasWriteFor(job)) return 0
+        val placeable = found.filter { isReady(it.machine, rooms) }
+        if (placeable.isEmpty()) return 0
+        if (job.spec.isGang && placeable.size < found.size) return 0
+        // Parts of jobs are placed now and then, not for each task that ends or machine that comes up, since each costs
+        // a write: the room is held for them meanwhile.
+        val isPart = placeable.size < job.waiting
+        if (isPart && !pass.mayPlaceParts) return 0
+        val draft = pass.draftOf(job.id) ?: return 0
+        if (draft.job.stage != StoredStage.OPEN) return 0
+        if (isPart) pass.hasPlacedParts = true
+        return assign(placeable, draft, rooms, pass)
+    }
+
+    private fun findMachines(
+        job: Job,
+        limit: Int,
+        rooms: Placer.Rooms,
+        pass: PlacementPass,
+    ): List<TaskPlacement> =
+        placer
+            .place(
+                job.spec,
+                job.waitingTasks(),
+                rooms,
+                candidates.zonesOf(job),
+                limit,
+                pass.isOverloaded,
+                avoided = reconciler.failures.triedOn(job.id),
+                spotOnly = keepsToSpot(job),
+            ).map { (task, machine) -> TaskPlacement(task, machine) }
+
+    /** Holds the room of [found] for the rest of the pass, and asks for those machines that have to be borrowed first. */
+    private fun hold(
+        found: List<TaskPlacement>,
+        job: Job,
+        rooms: Placer.Rooms,
+        pass: PlacementPass,
+    ) {
+        for (placement in found) rooms.take(placement.machine, job.spec.demand)
+        // A machine that is borrowed takes work only after the old owner has surely stopped placing there.
+        for (placement in found) {
+            if (rooms[placement.machine]?.own == false) pass.toBorrow += placement.machine
+        }
+    }
+
+    private fun isReady(
+        machine: MachineId,
+        rooms: Placer.Rooms,
+    ): Boolean {
+        val room = rooms[machine] ?: return false
+        return room.own && room.ready
+    }
+
+    /** Adds [placements] to [draft] as far as a transaction has room for them, and returns how many. */
+    private fun assign(
+        placements: List<TaskPlacement>,
+        draft: JobUpdate,
+        rooms: Placer.Rooms,
+        pass: PlacementPass,
+    ): Int {
+        val job = draft.before
+        val machines = LinkedHashSet<MachineId>()
+        var count = 0
+        for (placement in placements) {
+            val machine = placement.machine
+            if (machine !in machines && !mayAddMachine(machine, machines, draft)) continue
+            if (!draft.place(placement.task, machine)) continue
+            machines += machine
+            pass.teams.take(job.spec, 1)
+            count++
+        }
+        pass.writes += maxOf(1, draft.touched.size)
+        if (LOG.isDebugEnabled) {
+            val isOnAllMachines = rooms !== pass.rooms.own
+            LOG.debug("place job={} tasks={} machines={} all_shards={}", job.id.text, count, machines.size, isOnAllMachines)
+        }
+        return count
+    }
+
+    private fun mayAddMachine(
+        machine: MachineId,
+        used: Set<MachineId>,
+        draft: JobUpdate,
+    ): Boolean {
+        val isBorrowed = machine in cache.borrows
+        if (isBorrowed && used.count { it in cache.borrows } >= maxBorrowedMachines) return false
+        return draft.guard(shardClaims.guards(machine))
+    }
+
+    /** Whether there is room for a task of [job] on [rooms]. False for gangs, for which room for one task says nothing. */
+    fun couldPlace(
+        job: Job,
+        rooms: Placer.Rooms,
+        pass: PlacementPass,
+    ): Boolean {
+        if (job.spec.isGang) return false
+        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return false
+        if (pass.teams.tasks(job.spec) <= 0) return false
+        val found = placer.place(job.spec, job.waitingTasks(), rooms, candidates.zonesOf(job), 1, pass.isOverloaded)
+        return found.any { (_, machine) -> isReady(machine, rooms) }
+    }
+
+    /**
+     * Whether [job] may be placed on spot machines only. Spare-time work (the lowest priority) leaves ordinary machines alone,
+     * which would never be empty and returned with it, unless its tasks are short, or nothing of it runs and it has waited for
+     * long: where there are no spot machines it is served all the same.
+     */
+    fun keepsToSpot(job: Job): Boolean {
+        if (!job.spec.spot) return false
+        if (jobUrgency.of(job).priority != Priority.LOW) return false
+        if (job.spec.estimateS <= SHORT_TASK_S) return false
+        return job.placed > 0 || context.wall - jobUrgency.readySinceUs(job) < SPOT_ONLY_FOR
+    }
+
+    /** Borrows the machines that [pass] has found room on, if any; they are pushed their token once they are ours. */
+    fun borrowFor(pass: PlacementPass) {
+        if (pass.toBorrow.isNotEmpty()) shardClaims.borrow(pass.toBorrow, agents::push)
+    }
+
+    private companion object {
+        val LOG = LoggerFactory.getLogger(JobPlacer::class.java)
+        const val MAX_TASKS_PER_PLACEMENT = 512
+
+        /** Tasks that are over before their machine would be returned as idle, in seconds. */
+        const val SHORT_TASK_S = 20.0
+        const val SPOT_ONLY_FOR: Micros = 120 * SECOND
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
@@ -0,0 +1,116 @@
+package mintpick.engine.scheduling
+
+import mintpick.core.Job
+import mintpick.core.MachineId
+import mintpick.core.MachineView
+import mintpick.core.Resources
+import mintpick.core.Room
+import mintpick.core.capacity
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.agents.Reconciler
+import mintpick.engine.cache.Claim
+import mintpick.engine.cache.KnownMachine
+import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.membership.ControllerHealth
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.wire.MachineType
+import mintpick.wire.Retiring
+
+/** Which machines may be given work, and how much room they have. Event-loop thread only. */
+class MachineCandidates(
+    private val context: EngineContext,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val commandPlanner: CommandPlanner,
+    private val reconciler: Reconciler,
+    private val health: ControllerHealth,
+) {
+    private class Candidate(
+        val machine: KnownMachine,
+        val claim: Claim,
+        val isOwn: Boolean,
+        /** Images that another controller says are on it. */
+        val hintedImages: Set<String>,
+    )
+
+    private val cache get() = context.cache
+
+    /** How many machines this controller commands, whether or not they may be given work. */
+    val ownMachineCount: Int get() = agents.mine.size
+
+    /** Room on this controller's own machines, less what [jobUpdates] has under way. */
+    fun ownRooms(jobUpdates: JobUpdates): List<Room> =
+        agents.mine.mapNotNull { id ->
+            val machine = cache.machines[id] ?: return@mapNotNull null
+            val claim = shardClaims.control(id)
+            if (claim == null || !shardClaims.isMine(claim)) return@mapNotNull null
+            roomOn(Candidate(machine, claim, isOwn = true, emptySet()), jobUpdates)
+        }
+
+    /** Room on the other controllers' machines that they have heard from lately. */
+    fun othersRooms(jobUpdates: JobUpdates): List<Room> =
+        health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
+            val machine = cache.machines[id] ?: return@mapNotNull null
+            val claim = shardClaims.control(id)
+            if (claim == null || shardClaims.isMine(claim)) return@mapNotNull null
+            roomOn(Candidate(machine, claim, isOwn = false, images), jobUpdates)
+        }
+
+    /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
+    fun zonesOf(job: Job): Map<String, Int> {
+        if (!job.spec.spread && !job.spec.oneZone) return emptyMap()
+        val counts = HashMap<String, Int>()
+        for ((_, placement) in job.placements()) {
+            val zone = cache.machines[placement.machine]?.record?.zone ?: continue
+            counts.merge(zone, 1, Int::plus)
+        }
+        return counts
+    }
+
+    private fun roomOn(
+        candidate: Candidate,
+        jobUpdates: JobUpdates,
+    ): Room? {
+        val machine = candidate.machine
+        val type = cache.types[machine.record.type]
+        if (type == null || !mayTakeWork(machine)) return null
+        val view = agents.view(machine.id)
+        if (view != null && commandPlanner.isEmptying(view, candidate.claim)) return null
+        val isSettling = candidate.isOwn && agents.isSettling(machine.id)
+        if (candidate.isOwn && !isSettling && !isUsable(view)) return null
+        return Room(
+            machine = machine.id,
+            type = machine.record.type,
+            zone = machine.record.zone,
+            spot = machine.record.spot,
+            free = freeOn(machine.id, type, jobUpdates),
+            total = type.capacity,
+            hasImage = { view?.hasImage(it) == true || it in candidate.hintedImages },
+            own = candidate.isOwn,
+            yielding = cache.usedOn(machine.id) - cache.servicesOn(machine.id),
+            ready = !isSettling,
+        )
+    }
+
+    private fun mayTakeWork(machine: KnownMachine): Boolean =
+        machine.record.retiring == Retiring.NO &&
+            !reconciler.isGone(machine.id) &&
+            reconciler.hasRoom(machine.id)
+
+    /** What the records show as free, with what is known to have ended and without what is on its way to be stored. */
+    private fun freeOn(
+        machine: MachineId,
+        type: MachineType,
+        jobUpdates: JobUpdates,
+    ): Resources = type.capacity - cache.usedOn(machine) + reconciler.freedOn(machine) - jobUpdates.reservedOn(machine)
+
+    /** In touch both ways: nothing is placed where commands may not arrive, however many heartbeats come. */
+    private fun isUsable(view: MachineView?): Boolean =
+        view != null &&
+            agents.isConfirmed(view) &&
+            agents.isFresh(view) &&
+            !agents.isUnreachable(view.id) &&
+            !reconciler.failures.isFaulty(view.id)
+}
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -11,6 +11,7 @@
 import mintpick.core.Occupant
 import mintpick.core.Placer
 import mintpick.core.PreemptionPolicy
+import mintpick.core.PreemptionReason
 import mintpick.core.Resources
 import mintpick.core.Room
 import mintpick.core.SECOND
@@ -21,10 +22,14 @@
 import mintpick.engine.agents.CommandPlanner
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
+import mintpick.wire.JobSpec
 import mintpick.wire.StoredStage
 import org.slf4j.LoggerFactory
 
-/** Makes room for requests that are owed it by stopping what yields to them. */
+/**
+ * Makes room for a job that its team's guarantee or its priority entitles to it, by preempting tasks that yield to it
+ * ([PreemptionPolicy]). Of a sample of machines it takes the one on which the least work is lost. Event-loop thread only.
+ */
 class PreemptionPlanner(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
@@ -33,128 +38,165 @@
     private val usageAccounting: UsageAccounting,
     private val operators: Operators,
 ) {
-    private class Choice(
-        val machine: MachineId,
-        val victims: List<AttemptId>,
-        val lostUs: Double,
+    private class Victim(
+        val attempt: AttemptId,
+        val reason: PreemptionReason,
     )
 
-    private val quietUntil = HashMap<JobId, Micros>()
-    private val machineQuietUntil = HashMap<MachineId, Micros>()
+    /** What would have to be preempted on one machine to make room for one task. */
+    private class Plan(
+        val room: Room,
+        val victims: List<Victim>,
+        val lostCpuMicros: Double,
+    )
+
+    private val assignmentAges = AssignmentAges(context)
 
-    /** When this controller first saw an assignment: the start of its protected window at the latest. */
-    private val seenSince = HashMap<AttemptId, Micros>()
+    /** Until when no room is sought for a job again. */
+    private val jobPausedUntil = HashMap<JobId, Micros>()
 
+    /** Until when a machine is left alone after a preemption. */
+    private val machinePausedUntil = HashMap<MachineId, Micros>()
     private val cache get() = context.cache
 
+    /** Notes new assignments on the [touched] machines. */
     fun tick(touched: Collection<MachineId>) {
-        for (machine in touched) {
-            for ((task, attempt) in cache.tasksOn(machine)) seenSince.putIfAbsent(AttemptId(task, attempt), context.now)
-        }
-        if (seenSince.size > cleanAbove) {
-            seenSince.keys.removeIf { cache.job(it.task.job)?.placement(it.task.index)?.attempt != it.attempt }
-            cleanAbove = maxOf(CLEAN_ABOVE, seenSince.size * 2)
-        }
-        if (quietUntil.size > CLEAN_ABOVE) quietUntil.values.removeIf { it < context.now }
+        assignmentAges.observe(touched)
+        if (jobPausedUntil.size > PAUSES_TO_CLEAN) jobPausedUntil.values.removeIf { it < context.now }
     }
 
-    private var cleanAbove = CLEAN_ABOVE
-
-    /** Looks for room on a sample of [among] for tasks of [job] that wait in vain. */
-    fun seek(
+    /**
+     * Preempts for tasks of [job], which found no room: a few at a time, on a sample of [rooms], as far as the job is entitled
+     * to it. [perZone] is how many of its tasks each zone holds already.
+     */
+    fun preemptFor(
         job: Job,
-        among: Placer.Rooms,
+        rooms: Placer.Rooms,
         perZone: Map<String, Int>,
     ) {
         if (!job.spec.isProduction && !usageAccounting.isFunded(job.id)) return
-        if (context.now < (quietUntil[job.id] ?: 0)) return
-        quietUntil[job.id] = context.now + PAUSE
-        val claimant =
-            Claimant(
-                job.spec.team,
-                job.spec.priority,
-                usageAccounting.isFunded(job.id),
-                usageAccounting.isOverShare(job.spec.team),
-            )
-        val counts = HashMap(perZone)
-        val rooms = among.some(context.random, SAMPLE)
-        repeat(minOf(job.waiting, MAX_AT_ONCE)) {
-            val choice =
-                rooms
-                    .filter { Placer.allowed(job.spec, it.type, it.zone, it.spot) && (counts[it.zone] ?: 0) < job.spec.zoneCap }
-                    .filter { context.now >= (machineQuietUntil[it.machine] ?: 0) }
-                    .mapNotNull { choose(it, job.spec.demand, claimant) }
-                    .minByOrNull { it.lostUs } ?: return
-            rooms.first { it.machine == choice.machine }.let { counts.merge(it.zone, 1, Int::plus) }
-            stop(job, choice)
+        if (context.now < (jobPausedUntil[job.id] ?: 0)) return
+        jobPausedUntil[job.id] = context.now + JOB_PAUSE
+        val claimant = claimantOf(job)
+        val zoneCounts = HashMap(perZone)
+        val sample = rooms.some(context.random, SAMPLED_MACHINES)
+        repeat(minOf(job.waiting, MAX_MACHINES_AT_ONCE)) {
+            val plan = cheapestPlan(job.spec, sample, zoneCounts, claimant) ?: return
+            zoneCounts.merge(plan.room.zone, 1, Int::plus)
+            carryOut(plan, job)
         }
     }
 
-    private fun choose(
+    private fun claimantOf(job: Job): Claimant {
+        val isFunded = usageAccounting.isFunded(job.id)
+        val isOverShare = usageAccounting.isOverShare(job.spec.team)
+        return Claimant(job.spec.team, job.spec.priority, isFunded, isOverShare)
+    }
+
+    private fun cheapestPlan(
+        spec: JobSpec,
+        sample: List<Room>,
+        zoneCounts: Map<String, Int>,
+        claimant: Claimant,
+    ): Plan? =
+        sample
+            .filter { Placer.allowed(spec, it.type, it.zone, it.spot) }
+            .filter { (zoneCounts[it.zone] ?: 0) < spec.zoneCap }
+            .filter { context.now >= (machinePausedUntil[it.machine] ?: 0) }
+            .mapNotNull { planOn(it, spec.demand, claimant) }
+            .minByOrNull { it.lostCpuMicros }
+
+    /** The latest tasks that yield on the machine of [room], until [demand] fits; null if it never does, or fits as it is. */
+    private fun planOn(
         room: Room,
         demand: Resources,
         claimant: Claimant,
-    ): Choice? {
+    ): Plan? {
         var free = room.free
-        val victims = ArrayList<AttemptId>()
-        var lost = 0.0
-        val candidates =
-            cache
-                .tasksOn(room.machine)
-                .map { AttemptId(it.key, it.value) }
-                .filter { it !in commandPlanner.stopping && yields(it, claimant) }
-                .sortedByDescending { seenSince[it] ?: context.now }
-        for (victim in candidates) {
+        var lostCpuMicros = 0.0
+        val victims = ArrayList<Victim>()
+        for (victim in victimsOn(room.machine, claimant)) {
             if (demand.fits(free)) break
-            val spec = cache.job(victim.task.job)?.spec ?: continue
+            val spec = cache.job(victim.attempt.task.job)?.spec ?: continue
             free += spec.demand
+            lostCpuMicros += assignmentAges.ageUs(victim.attempt).toDouble() * spec.cpus
             victims += victim
-            lost += (context.now - (seenSince[victim] ?: context.now)).toDouble() * spec.cpus
         }
-        return if (demand.fits(free) && victims.isNotEmpty()) Choice(room.machine, victims, lost) else null
+        if (victims.isEmpty() || !demand.fits(free)) return null
+        return Plan(room, victims, lostCpuMicros)
     }
 
-    private fun yields(
+    /** What yields to [claimant] on [machine], the latest assignment first: the least of its work is lost. */
+    private fun victimsOn(
+        machine: MachineId,
+        claimant: Claimant,
+    ): List<Victim> =
+        cache
+            .tasksOn(machine)
+            .map { (task, attempt) -> AttemptId(task, attempt) }
+            .filter { it !in commandPlanner.stopping }
+            .mapNotNull { attempt -> reasonToPreempt(attempt, claimant)?.let { Victim(attempt, it) } }
+            .sortedByDescending { assignmentAges.sinceUs(it.attempt) }
+
+    private fun reasonToPreempt(
         attempt: AttemptId,
         claimant: Claimant,
-    ): Boolean {
-        val job = cache.job(attempt.task.job) ?: return false
-        if (job.stage != StoredStage.OPEN) return false
+    ): PreemptionReason? {
+        val job = cache.job(attempt.task.job) ?: return null
+        if (job.stage != StoredStage.OPEN) return null
+        return PreemptionPolicy.reason(occupantOf(job, attempt), claimant)
+    }
+
+    private fun occupantOf(
+        job: Job,
+        attempt: AttemptId,
+    ): Occupant {
         val spec = job.spec
-        val type = cache.machines[job.placement(attempt.task.index)?.machine]?.record?.type
-        val fetch =
-            cache.types[type]
-                ?.fetchGbPerS
-                ?.takeIf { it > 0 }
-                ?.let { (spec.imageGb / it * SECOND).toLong() } ?: 0
-        val window = Contract.minimumRuntime(spec, fetch, operators.minimumRuntimeCapUs)
-        val expired = context.now - (seenSince[attempt] ?: context.now) > window
-        val over = usageAccounting.isOverShare(spec.team)
-        return PreemptionPolicy.yields(Occupant(spec.team, spec.priority, usageAccounting.isFunded(job.id), expired, over), claimant)
+        val fetchUs = imageFetchUs(job, attempt)
+        val minimumRuntimeUs = Contract.minimumRuntime(spec, fetchUs, operators.minimumRuntimeCapUs)
+        val isExpired = assignmentAges.ageUs(attempt) > minimumRuntimeUs
+        val isOverShare = usageAccounting.isOverShare(spec.team)
+        return Occupant(spec.team, spec.priority, usageAccounting.isFunded(job.id), isExpired, isOverShare)
     }
 
-    private fun stop(
+    /** How long a machine of the type that [attempt] is on takes to fetch the image of [job]; 0 if that is not known. */
+    private fun imageFetchUs(
+        job: Job,
+        attempt: AttemptId,
+    ): Micros {
+        val machine = job.placement(attempt.task.index)?.machine
+        val type = cache.types[cache.machines[machine]?.record?.type] ?: return 0
+        if (type.fetchGbPerS <= 0) return 0
+        return (job.spec.imageGb / type.fetchGbPerS * SECOND).toLong()
+    }
+
+    private fun carryOut(
+        plan: Plan,
         job: Job,
-        choice: Choice,
     ) {
-        machineQuietUntil[choice.machine] = context.now + MACHINE_PAUSE
-        if (!shardClaims.controls(choice.machine)) {
+        val machine = plan.room.machine
+        machinePausedUntil[machine] = context.now + MACHINE_PAUSE
+        if (!shardClaims.controls(machine)) {
             // The leader may stop tasks only on what it commands; once it is borrowed the job asks again.
-            shardClaims.borrow(listOf(choice.machine), agents::push)
-            quietUntil.remove(job.id)
+            shardClaims.borrow(listOf(machine), agents::push)
+            jobPausedUntil.remove(job.id)
             return
         }
-        LOG.info("preempt for={} machine={} victims={} reason=owed", job.id.text, choice.machine.text, choice.victims.map { it.task })
-        choice.victims.forEach { commandPlanner.stopping[it] = "preempted" }
-        agents.push(choice.machine)
+        val tasks = plan.victims.map { it.attempt.task }
+        LOG.info("preempt for={} machine={} victims={} reason=guarantee-or-priority", job.id.text, machine.text, tasks)
+        for (victim in plan.victims) {
+            LOG.debug("preempt victim={} for={} reason={}", victim.attempt.task, job.id.text, victim.reason.text)
+            commandPlanner.stopping[victim.attempt] = "preempted"
+        }
+        agents.push(machine)
     }
 
-    companion object {
-        private val LOG = LoggerFactory.getLogger(PreemptionPlanner::class.java)
-        private const val PAUSE: Micros = SECOND
-        private const val MACHINE_PAUSE: Micros = SECOND / 2
-        private const val MAX_AT_ONCE = 4
-        private const val SAMPLE = 48
-        private const val CLEAN_ABOVE = 5_000
+    private companion object {
+        val LOG = LoggerFactory.getLogger(PreemptionPlanner::class.java)
+        const val JOB_PAUSE: Micros = SECOND
+        const val MACHINE_PAUSE: Micros = SECOND / 2
+        const val MAX_MACHINES_AT_ONCE = 4
+        const val SAMPLED_MACHINES = 48
+        const val PAUSES_TO_CLEAN = 5_000
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/scheduling/UnchangedJobs.kt
@@ -0,0 +1,31 @@
+package mintpick.engine.scheduling
+
+import mintpick.core.Job
+import mintpick.core.JobId
+import mintpick.core.Micros
+import mintpick.engine.runtime.EngineContext
+
+/** For how long this controller has seen the records of waiting jobs unchanged. */
+internal class UnchangedJobs(
+    private val context: EngineContext,
+) {
+    private class Observation(
+        val version: Long,
+        val sinceUs: Micros,
+    )
+
+    private val observations = HashMap<JobId, Observation>()
+
+    /** Notes the version of [job], and returns for how long its record has not changed. */
+    fun observe(job: Job): Micros {
+        val earlier = observations[job.id]
+        if (earlier?.version == job.version) return context.now - earlier.sinceUs
+        observations[job.id] = Observation(job.version, context.now)
+        return 0
+    }
+
+    /** Forgets all jobs but [jobs]. */
+    fun retain(jobs: Set<JobId>) {
+        observations.keys.retainAll(jobs)
+    }
+}
--- a/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -9,76 +9,91 @@
 import mintpick.wire.Guard
 import mintpick.wire.StoredStage
 
-/** A job as it is to become, with what must hold for that. */
+/** A draft of what a job is to become, with what must hold for that. Event-loop thread only. */
 class JobUpdate(
+    /** The job as the records show it. */
     val before: Job,
-    private val limits: TransactionLimits,
+    limits: TransactionLimits,
 ) {
     private val edits = HashMap<Int, ChunkEdit>()
+    private val machineGuards = LinkedHashSet<Guard>()
+    private val newPlacements = ArrayList<Placement>()
+    private val requeuedAttempts = ArrayList<AttemptId>()
     private var stage = before.stage
     private var built: Job? = before
-    private var isClosing = false
-    private val mostChunks = limits.chunksOf(before)
-    private val mostGuards = limits.guardsOf(before)
+    private var writesFinalRecord = false
+    private val maxChunks = limits.maxChunks(before)
+    private val maxMachineGuards = limits.maxMachineGuards(before)
 
     /** The job with all changes so far. */
     val job: Job get() = built ?: build().also { built = it }
+
+    /** Indexes of the chunks that have changed. */
     val touched: Set<Int> get() = edits.filterValues { it.changed }.keys
-    val guards = LinkedHashSet<Guard>()
-    val placed = ArrayList<Pair<AttemptId, MachineId>>()
 
-    /** Attempts that are over and make way for others. */
-    val requeued = ArrayList<AttemptId>()
-    val changed: Boolean get() = isClosing || stage != before.stage || edits.values.any { it.changed }
+    /** What must hold beside the job's own records being unchanged. */
+    val guards: Set<Guard> get() = machineGuards
 
-    private fun build(): Job =
-        edits.entries.fold(before.with(stage = stage)) { job, (index, edit) -> job.with(chunk = index to edit.build()) }
+    /** Placements of this update, in the order in which they were made. */
+    val placed: List<Placement> get() = newPlacements
 
-    /** The chunk of [task]; null if it is one too many for a transaction: what is left out is planned again after it. */
-    private fun edit(task: Int): ChunkEdit? {
-        val index = task / Job.CHUNK
-        if (index !in edits && edits.size >= mostChunks) return null
-        built = null
-        return edits.getOrPut(index) { before.chunk(index).edit() }
-    }
+    /** Attempts that have ended and whose tasks wait again. */
+    val requeued: List<AttemptId> get() = requeuedAttempts
+
+    /** Whether there is anything to write. */
+    val changed: Boolean get() = writesFinalRecord || stage != before.stage || edits.values.any { it.changed }
 
+    /** Task number [task] is done. */
     fun finish(task: Int) {
-        edit(task)?.finish(task % Job.CHUNK)
+        editOf(task)?.finish(task % Job.CHUNK)
     }
 
+    /** Task number [task] waits again: the caller has proof that [placement] runs nowhere. */
     fun requeue(
         task: Int,
         placement: Placement,
     ) {
-        val edit = edit(task) ?: return
+        val edit = editOf(task) ?: return
         edit.requeue(task % Job.CHUNK, placement)
-        requeued += AttemptId(TaskId(before.id, task), placement.attempt)
+        requeuedAttempts += AttemptId(TaskId(before.id, task), placement.attempt)
     }
 
-    /** Whether [task] was placed. */
+    /** Places task number [task]; false if it does not wait, or a transaction has no room for its chunk. */
     fun place(
         task: Int,
         machine: MachineId,
     ): Boolean {
-        val placement = edit(task)?.place(task % Job.CHUNK, machine) ?: return false
-        placed += AttemptId(TaskId(before.id, task), placement.attempt) to machine
+        val placement = editOf(task)?.place(task % Job.CHUNK, machine) ?: return false
+        newPlacements += placement
         return true
     }
 
-    /** Adds what must hold; false if a transaction has no room for it, and what needs it has to wait for the next. */
+    /** Adds what must hold; false if a transaction has no room for it, and what needs it has to wait for the next one. */
     fun guard(added: List<Guard>): Boolean {
-        if ((guards + added).size > mostGuards) return false
-        guards += added
+        if ((machineGuards + added).size > maxMachineGuards) return false
+        machineGuards += added
         return true
     }
 
-    /** A job that is over by what has become of others gets its final record. */
-    fun close() {
-        isClosing = true
+    /** Has the final record written of a cancelled job without a task left. */
+    fun writeFinalRecord() {
+        writesFinalRecord = true
     }
 
+    /** Cancels the job. */
     fun cancel() {
         stage = StoredStage.CANCELLED
         built = null
     }
+
+    private fun build(): Job =
+        edits.entries.fold(before.with(stage = stage)) { job, (index, edit) -> job.with(chunk = index to edit.build()) }
+
+    /** The chunk of [task]; null if it is one too many for a transaction: what is left out is planned again after it. */
+    private fun editOf(task: Int): ChunkEdit? {
+        val index = task / Job.CHUNK
+        if (index !in edits && edits.size >= maxChunks) return null
+        built = null
+        return edits.getOrPut(index) { before.chunk(index).edit() }
+    }
 }
--- a/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
@@ -31,7 +31,7 @@
     ) {
         private val context = EngineContext(Samples.settings(0), SplittableRandom(1))
         private val stateStore = StateStoreClient(context, FormatGate(context))
-        val shardClaims = ShardClaims(context, stateStore)
+        val shardClaims = ShardClaims(context, stateStore, FullContact)
         val health = ControllerHealth(context, stateStore)
         private val answers = ArrayList<Pair<Long, Outcome>>()
         var connected = true
@@ -237,6 +237,12 @@
         assertTrue(controller.shardClaims.isMine(claim) && claim.version > 1, "$claim")
     }
 
+    /** Nobody is cut off from anybody. */
+    private object FullContact : ClusterContact {
+        override val hearsAllPeers = true
+        override val reachesAgents = true
+    }
+
     private companion object {
         const val STEP: Micros = 20 * MILLI
     }
--- a/src/test/kotlin/mintpick/sim/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/sim/UserRequestFaultCombinationsTest.kt
@@ -5,7 +5,8 @@
 import mintpick.core.JobId
 import mintpick.core.MILLI
 import mintpick.core.SECOND
-import mintpick.engine.jobs.UserRequests
+import mintpick.engine.jobs.JobAnswers
+import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.runtime.Effect
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.runtime.Event
@@ -332,11 +333,11 @@
     @Test
     fun `a submission whose write is answered late is told what has become of the job`() {
         val script = ScriptedLink().apply { serve() }
-        val userRequests = UserRequests(script.context, script.stateStore, FormatGate(script.context))
+        val pendingRequests = PendingRequests(script.context, script.stateStore, JobAnswers(script.context, script.stateStore))
         val answers = ArrayList<Answer>()
-        userRequests.submissions[JobId(id(5))] = UserRequests.Pending(batch(5), 0).apply { replies += ReplyTo { answers += it } }
+        pendingRequests.addSubmission(batch(5)) { answers += it }
         script.context.cache.apply(Keys.job(id(5)), RecordCodec.finalJson(StoredStage.CANCELLED, 1), 20)
-        userRequests.submitted(JobId(id(5)))
+        pendingRequests.submitted(JobId(id(5)))
         script.context
             .takeEffects()
             .filterIsInstance<Effect.Send>()
