--- a/src/main/kotlin/mintpick/core/BootTimes.kt
+++ b/src/main/kotlin/mintpick/core/BootTimes.kt
@@ -7,57 +7,58 @@
 )
 
 /**
- * How long machines take to boot, by kind, as against what their type names. Like a retransmission timeout it adapts: while
- * most of the latest machines of a kind were late or are missing, others of it are waited for longer before they are replaced
- * or returned, so that a fleet that boots slowly is not rented twice over.
+ * How long machines take to boot, by kind, as multiples of the nominal boot time of their type. Like a retransmission timeout
+ * it adapts: while most of the latest machines of a kind were slow or overdue, others of it are waited for longer before they
+ * are replaced or released, so that slow boots do not make the planner rent the same capacity twice.
  */
 class BootTimes {
-    /** Boot times of the latest machines as multiples of the nominal one; of a late one, how long it has taken so far. */
-    private val latest = HashMap<BootKind, ArrayDeque<Double>>()
+    /** Samples of the latest machines; an overdue one counts with the time that it has taken so far. */
+    private val latestMultiples = HashMap<BootKind, ArrayDeque<Double>>()
 
-    /** A machine of [kind] was up after [ratio] times its nominal boot time. */
-    fun booted(
+    /** A machine of [kind] was up after [multiple] times its nominal boot time. */
+    fun recordBoot(
         kind: BootKind,
-        ratio: Double,
-    ) = record(kind, ratio)
+        multiple: Double,
+    ) = record(kind, multiple)
 
-    /** A machine of [kind] was not up after [MISSING] times its nominal boot time. */
-    fun missing(kind: BootKind) = record(kind, MISSING * MISSING_WEIGHT)
+    /** A machine of [kind] was not up after [OVERDUE_MULTIPLE] times its nominal boot time. */
+    fun recordOverdue(kind: BootKind) = record(kind, OVERDUE_MULTIPLE * OVERDUE_WEIGHT)
 
     private fun record(
         kind: BootKind,
-        ratio: Double,
+        multiple: Double,
     ) {
-        val ratios = latest.getOrPut(kind) { ArrayDeque() }
-        ratios.addLast(ratio)
-        if (ratios.size > KEPT) ratios.removeFirst()
+        val multiples = latestMultiples.getOrPut(kind) { ArrayDeque() }
+        multiples.addLast(multiple)
+        if (multiples.size > MAX_SAMPLES) multiples.removeFirst()
     }
 
     /** Multiple of the nominal boot time after which a machine is not counted on any more and another is rented for it. */
-    fun lateAfter(kind: BootKind): Double = LATE * scale(kind)
+    fun replaceAfterMultiple(kind: BootKind): Double = REPLACE_MULTIPLE * adaptation(kind)
 
-    /** Multiple of the nominal boot time after which a machine is returned without having come up. */
-    fun lostAfter(kind: BootKind): Double = LOST * scale(kind)
+    /** Multiple of the nominal boot time after which a machine is released without having come up. */
+    fun releaseAfterMultiple(kind: BootKind): Double = RELEASE_MULTIPLE * adaptation(kind)
 
-    /** Whether most of the latest machines of [kind] were late: other kinds are the better choice. */
-    fun isTroubled(kind: BootKind): Boolean = median(kind) > TROUBLED
+    /** Whether most of the latest machines of [kind] were slow: other kinds are the better choice. */
+    fun isSlow(kind: BootKind): Boolean = median(kind) > SLOW_MEDIAN
 
-    private fun scale(kind: BootKind): Double = median(kind).coerceIn(1.0, MOST)
+    private fun adaptation(kind: BootKind): Double = median(kind).coerceIn(1.0, MAX_ADAPTATION)
 
+    /** Median of the samples of [kind]; the nominal boot time while there are too few. */
     private fun median(kind: BootKind): Double {
-        val ratios = latest[kind]?.takeIf { it.size >= ENOUGH } ?: return 1.0
-        return ratios.sorted()[ratios.size / 2]
+        val multiples = latestMultiples[kind]?.takeIf { it.size >= MIN_SAMPLES } ?: return 1.0
+        return multiples.sorted()[multiples.size / 2]
     }
 
     companion object {
-        /** Multiple of the nominal boot time after which a machine counts as missing until it is up. */
-        const val MISSING = 2.2
-        private const val MISSING_WEIGHT = 1.5
-        private const val LATE = 1.6
-        private const val LOST = 3.0
-        private const val TROUBLED = 2.0
-        private const val MOST = 2.0
-        private const val KEPT = 9
-        private const val ENOUGH = 4
+        /** Multiple of the nominal boot time after which a machine counts as overdue, whether it comes up later or not. */
+        const val OVERDUE_MULTIPLE = 2.2
+        private const val OVERDUE_WEIGHT = 1.5
+        private const val REPLACE_MULTIPLE = 1.6
+        private const val RELEASE_MULTIPLE = 3.0
+        private const val SLOW_MEDIAN = 2.0
+        private const val MAX_ADAPTATION = 2.0
+        private const val MAX_SAMPLES = 9
+        private const val MIN_SAMPLES = 4
     }
 }
--- a/src/main/kotlin/mintpick/core/FailureTracker.kt
+++ b/src/main/kotlin/mintpick/core/FailureTracker.kt
@@ -4,8 +4,9 @@
  * Tells faulty jobs from faulty machines by which tasks end with an error where.
  *
  * A job that fails on several machines without ever succeeding is at fault itself: it is retried with exponential backoff,
- * a task at a time, and its errors are not held against machines. A machine is faulty once several other jobs have failed
+ * a task at a time, and its errors are not counted against machines. A machine is faulty once several other jobs have failed
  * there. All of it is kept in memory only: a controller that starts anew learns it again within a few retries.
+ * Event-loop thread only.
  */
 class FailureTracker {
     private class JobFailures {
@@ -14,14 +15,23 @@
         var retries = 0
         var retryAtUs: Micros = 0
         var isFaulty = false
+
+        fun add(machine: MachineId) {
+            machines -= machine
+            machines += machine
+            if (machines.size > MAX_MACHINES_KEPT) machines.remove(machines.first())
+        }
     }
 
     private val jobs = HashMap<JobId, JobFailures>()
 
     /** By machine, the jobs that failed there and are not faulty themselves, the latest last. */
-    private val blamedBy = HashMap<MachineId, LinkedHashSet<JobId>>()
+    private val failedJobsOn = HashMap<MachineId, LinkedHashSet<JobId>>()
 
-    /** A task of [job] ended with an error on [machine]; [hasSucceeded] tells whether any of the job's tasks ever completed. */
+    /**
+     * A task of [job] ended with an error on [machine] at [now]; [hasSucceeded] tells whether any of the job's tasks ever
+     * completed.
+     */
     fun failed(
         machine: MachineId,
         job: JobId,
@@ -29,83 +39,91 @@
         now: Micros,
     ) {
         val failures = jobs.getOrPut(job) { JobFailures() }
-        failures.machines -= machine
-        failures.machines += machine
-        if (failures.machines.size > MACHINES_KEPT) failures.machines.remove(failures.machines.first())
+        failures.add(machine)
         // Tasks that were started together and fail together are one retry.
-        if (failures.retryAtUs <= now) failures.retryAtUs = now + backoff(++failures.retries)
-        if (!hasSucceeded && failures.machines.size >= MACHINES_TO_BLAME_JOB) blameJob(job, failures)
-        if (!failures.isFaulty) blamedBy.getOrPut(machine) { LinkedHashSet() } += job
+        if (failures.retryAtUs <= now) {
+            failures.retries++
+            failures.retryAtUs = now + backoff(failures.retries)
+        }
+        if (!hasSucceeded && failures.machines.size >= MACHINES_TO_BLAME_JOB) markFaulty(job, failures)
+        if (!failures.isFaulty) failedJobsOn.getOrPut(machine) { LinkedHashSet() } += job
     }
 
-    private fun blameJob(
+    private fun markFaulty(
         job: JobId,
         failures: JobFailures,
     ) {
         failures.isFaulty = true
-        for (machine in failures.machines) absolve(machine, job)
+        for (machine in failures.machines) removeFailure(machine, job)
     }
 
-    private fun absolve(
+    private fun removeFailure(
         machine: MachineId,
         job: JobId,
     ) {
-        val blaming = blamedBy[machine] ?: return
-        blaming -= job
-        if (blaming.isEmpty()) blamedBy -= machine
+        val failedJobs = failedJobsOn[machine] ?: return
+        failedJobs -= job
+        if (failedJobs.isEmpty()) failedJobsOn -= machine
     }
 
-    /** A task of [job] completed on [machine], or has been running there for long enough. */
+    /**
+     * A task of [job] completed on [machine], or has been running there for long enough: the job's failures are forgotten,
+     * and the oldest one on the machine.
+     */
     fun succeeded(
         machine: MachineId,
         job: JobId,
     ) {
         jobs -= job
-        blamedBy[machine]?.let { absolve(machine, it.first()) }
+        val oldest = failedJobsOn[machine]?.first() ?: return
+        removeFailure(machine, oldest)
     }
 
     /** Whether any task of [job] has failed since one succeeded. */
     fun hasFailed(job: JobId): Boolean = job in jobs
 
-    /** Whether [job] fails wherever it runs. */
+    /** Whether [job] fails on every machine. */
     fun isFaulty(job: JobId): Boolean = jobs[job]?.isFaulty == true
 
-    /** Whether jobs that succeed elsewhere fail on [machine]. */
-    fun isFaulty(machine: MachineId): Boolean = (blamedBy[machine]?.size ?: 0) >= JOBS_TO_BLAME_MACHINE
+    /** Whether jobs that succeed on other machines fail on [machine]. */
+    fun isFaulty(machine: MachineId): Boolean = (failedJobsOn[machine]?.size ?: 0) >= JOBS_TO_BLAME_MACHINE
 
-    /** Jobs that fail wherever they run. */
+    /** Jobs that fail on every machine. */
     fun faultyJobs(): List<JobId> = jobs.filterValues { it.isFaulty }.keys.toList()
 
-    /** Machines that are faulty. */
-    fun faultyMachines(): List<MachineId> = blamedBy.keys.filter(::isFaulty)
+    /** Machines on which jobs fail that succeed on others. */
+    fun faultyMachines(): List<MachineId> = failedJobsOn.keys.filter(::isFaulty)
 
-    /** Whether the backoff of [job] is over. */
+    /** Whether the backoff of [job] is over at [now]. */
     fun mayRetry(
         job: JobId,
         now: Micros,
     ): Boolean = now >= (jobs[job]?.retryAtUs ?: 0)
 
-    /** Where a retry of [job] would tell nothing new. */
+    /** Machines on which [job] has failed lately, so that a retry there would tell nothing new. */
     fun triedOn(job: JobId): Set<MachineId> = jobs[job]?.machines.orEmpty()
 
-    /** Drops what is known of jobs and machines that are gone. */
+    /** Drops what is known of jobs that are not open and of machines that are not known any more. */
     fun retain(
         isJobOpen: (JobId) -> Boolean,
         isMachineKnown: (MachineId) -> Boolean,
     ) {
         jobs.keys.removeIf { !isJobOpen(it) }
-        blamedBy.keys.removeIf { !isMachineKnown(it) }
+        failedJobsOn.keys.removeIf { !isMachineKnown(it) }
     }
 
     companion object {
+        /** A machine is faulty once so many jobs have failed on it. */
         const val JOBS_TO_BLAME_MACHINE = 3
+
+        /** A job that never succeeded is faulty once it has failed on so many machines. */
         const val MACHINES_TO_BLAME_JOB = 3
 
         /** Tasks of a faulty job that may run at once. */
         const val FAULTY_TASKS = 1
-        private const val MACHINES_KEPT = 4
+        private const val MAX_MACHINES_KEPT = 4
         private const val FIRST_BACKOFF: Micros = SECOND / 2
-        private const val MOST_BACKOFF: Micros = 30 * SECOND
+        private const val MAX_BACKOFF: Micros = 30 * SECOND
         private const val MAX_DOUBLINGS = 6
 
         /** How many tasks of a faulty job with [waiting] and [placed] ones may be started now. */
@@ -115,6 +133,6 @@
         ): Int = minOf(waiting, maxOf(0, FAULTY_TASKS - placed))
 
         /** The pause before the [retry]th retry, in microseconds. */
-        fun backoff(retry: Int): Micros = minOf(MOST_BACKOFF, FIRST_BACKOFF shl minOf(retry - 1, MAX_DOUBLINGS))
+        fun backoff(retry: Int): Micros = minOf(MAX_BACKOFF, FIRST_BACKOFF shl minOf(retry - 1, MAX_DOUBLINGS))
     }
 }
--- a/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
@@ -10,40 +10,77 @@
     val spot: Boolean,
 )
 
-/** Works out which machines are missing for tasks that have no room. Pure. */
+/** Tasks, waiting or forecast, that capacity is needed for. */
+data class CapacityDemand(
+    /** What each of the tasks needs, and the zone rules of the job. */
+    val spec: JobSpec,
+    /** Number of tasks. */
+    val count: Int,
+    /** Tasks of the job that run already, by zone. */
+    val perZone: Map<String, Int> = emptyMap(),
+    /** Whether on-demand machines may be rented for work that may run on spot ones. */
+    val mayRentOnDemand: Boolean = true,
+    /** Work that may run on spot machines takes no room on on-demand ones, and is no reason to keep those. */
+    val keepsToSpot: Boolean = false,
+)
+
+/** What to rent, and which of the existing machines no demand needs. */
+data class ScaleOutPlan(
+    /** Number of machines to rent, in the order in which the offers were first chosen. */
+    val newMachines: Map<Offer, Int>,
+    val unusedMachines: Set<MachineId>,
+)
+
+/** Works out by bin packing which machines are missing for tasks that have no room. Pure. */
 class ScaleOutPlanner(
     private val types: Map<String, MachineType>,
     private val zones: List<String>,
-    /** Whether most of an offer's latest machines were late to boot, or have never come up. */
-    private val troubled: (Offer) -> Boolean = { false },
-    /** Whether an offer may be tried now: false for a while after it was refused. */
-    private val available: (Offer) -> Boolean,
+    /** Whether most of an offer's latest machines were slow to boot, or have never come up. */
+    private val bootsSlowly: (Offer) -> Boolean = { false },
+    /** Whether an offer may be requested now: false for a while after it was refused. */
+    private val isAvailable: (Offer) -> Boolean,
 ) {
-    /** Tasks of one job, or of one that is expected, to find room for. */
-    data class Want(
-        val spec: JobSpec,
-        val count: Int,
-        val perZone: Map<String, Int> = emptyMap(),
-        /** Whether work that may use spot machines is worth an ordinary one. */
-        val ordinary: Boolean = true,
-        /** Not there yet: no reason to keep ordinary machines for what may use spot ones. */
-        val spare: Boolean = false,
-    )
-
-    private class Bin(
+    private val offers: List<Offer> = types.values.flatMap(::offersOf)
+
+    private fun offersOf(type: MachineType): List<Offer> =
+        type.zones
+            .filter { it in zones }
+            .flatMap { zone -> listOf(Offer(type.name, zone, true), Offer(type.name, zone, false)) }
+
+    /**
+     * New machines to rent so that all of [demands] fit into [rooms] or onto the new machines, of which there are at most
+     * [maxNewMachines]. Rooms are filled in the given order, each with as many tasks at a time as it holds, so that a cluster
+     * of a thousand machines is walked once for each demand.
+     */
+    fun plan(
+        rooms: Collection<Room>,
+        demands: List<CapacityDemand>,
+        maxNewMachines: Int,
+    ): ScaleOutPlan {
+        val packing = Packing(rooms, maxNewMachines)
+        demands.forEach(packing::pack)
+        return packing.result()
+    }
+
+    /** A machine, existing or to be rented, that tasks are packed into. */
+    private class MachineBin(
         val offer: Offer,
         var free: Resources,
         var yielding: Resources,
+        /** Null for one that is to be rented. */
         val machine: MachineId?,
-        var used: Boolean = false,
     ) {
+        var isUsed = false
+            private set
+
+        /** What tasks of [spec] may take: services also what batch work yields to them. */
         fun roomFor(spec: JobSpec): Resources = if (spec.isService) free + yielding else free
 
         fun take(
             spec: JobSpec,
             count: Int,
         ) {
-            used = true
+            isUsed = true
             val demand = spec.demand * count.toDouble()
             if (demand.fits(free)) {
                 free -= demand
@@ -54,103 +91,117 @@
         }
     }
 
-    /** What to rent, and which of the rooms nothing needs. */
-    data class Plan(
-        val rent: Map<Offer, Int>,
-        val unused: Set<MachineId>,
-    )
+    /** One pass of bin packing. */
+    private inner class Packing(
+        rooms: Collection<Room>,
+        private val maxNewMachines: Int,
+    ) {
+        private val existingBins =
+            rooms.mapTo(ArrayList()) { MachineBin(Offer(it.type, it.zone, it.spot), it.free, it.yielding, it.machine) }
+        private val newBins = ArrayList<MachineBin>()
+        private val newMachines = LinkedHashMap<Offer, Int>()
+
+        /** Specifications that no existing bin had room for: what needs as much need not be tried again. */
+        private val unplaceable = ArrayList<JobSpec>()
+
+        fun result() = ScaleOutPlan(newMachines, existingBins.filter { !it.isUsed }.mapNotNullTo(HashSet()) { it.machine })
 
-    private val offers: List<Offer> =
-        types.values.flatMap { type ->
-            type.zones.filter { it in zones }.flatMap { zone -> listOf(Offer(type.name, zone, true), Offer(type.name, zone, false)) }
+        fun pack(demand: CapacityDemand) {
+            val perZone = HashMap(demand.perZone)
+            var left = demand.count
+            if (!isUnplaceable(demand.spec)) left = packIntoExisting(demand, left, perZone)
+            left = fill(demand.spec, left, newBins, perZone) { true }
+            while (left > 0) {
+                val bin = openBin(demand, left, perZone) ?: break
+                newBins += bin
+                left = fill(demand.spec, left, listOf(bin), perZone) { true }
+            }
         }
 
-    /**
-     * New machines to rent so that all of [wants] find room in [rooms] or on them. Rooms are filled in the given
-     * order, each with as many tasks at a time as it holds: a fleet of a thousand is walked once for each want.
-     */
-    fun plan(
-        rooms: Collection<Room>,
-        wants: List<Want>,
-        maxNew: Int,
-    ): Plan {
-        val bins = rooms.mapTo(ArrayList()) { Bin(Offer(it.type, it.zone, it.spot), it.free, it.yielding, it.machine) }
-        val fresh = ArrayList<Bin>()
-        val rented = LinkedHashMap<Offer, Int>()
-        // Shapes that no room held any more: what needs as much need not look again.
-        val missed = ArrayList<JobSpec>()
-        for (want in wants) {
-            val counts = HashMap(want.perZone)
-            var left = want.count
-            if (missed.none { (it.spot || !want.spec.spot) && it.isService == want.spec.isService && it.demand.fits(want.spec.demand) }) {
-                // What may use spot machines leaves ordinary ones to what may not.
-                if (want.spec.spot) left = fill(want.spec, left, bins, counts) { it.offer.spot }
-                if (!want.spec.spot || !want.spare) left = fill(want.spec, left, bins, counts) { true }
-                if (left > 0 &&
-                    !want.spare &&
-                    counts.values.sum() == 0 &&
-                    want.spec.types == null &&
-                    want.spec.zone == null
-                ) {
-                    missed += want.spec
-                }
+        /** Whether what needs at most as much as [spec], and may use the same machines at least, has found no room already. */
+        private fun isUnplaceable(spec: JobSpec): Boolean =
+            unplaceable.any { failed ->
+                val hasNoMoreChoice = failed.spot || !spec.spot
+                hasNoMoreChoice && failed.isService == spec.isService && failed.demand.fits(spec.demand)
             }
-            left = fill(want.spec, left, fresh, counts) { true }
-            while (left > 0) {
-                val bin = open(want, counts, left, rented, maxNew) ?: break
-                fresh += bin
-                left = fill(want.spec, left, listOf(bin), counts) { true }
+
+        /** Packs up to [count] tasks into existing machines; the number of tasks left. */
+        private fun packIntoExisting(
+            demand: CapacityDemand,
+            count: Int,
+            perZone: MutableMap<String, Int>,
+        ): Int {
+            val spec = demand.spec
+            var left = count
+            // What may use spot machines leaves on-demand ones to what may not.
+            if (spec.spot) left = fill(spec, left, existingBins, perZone) { it.offer.spot }
+            if (!spec.spot || !demand.keepsToSpot) left = fill(spec, left, existingBins, perZone) { true }
+            // Only a search that no rule of the job narrowed says something about other jobs.
+            val searchedAllBins = !demand.keepsToSpot && spec.types == null && spec.zone == null
+            val isPlacedNowhere = perZone.values.sum() == 0
+            if (left > 0 && searchedAllBins && isPlacedNowhere) unplaceable += spec
+            return left
+        }
+
+        /** Packs up to [count] tasks into those of [bins] that [accepts] names; the number of tasks left. */
+        private inline fun fill(
+            spec: JobSpec,
+            count: Int,
+            bins: List<MachineBin>,
+            perZone: MutableMap<String, Int>,
+            accepts: (MachineBin) -> Boolean,
+        ): Int {
+            var left = count
+            for (bin in bins) {
+                if (left == 0) break
+                val offer = bin.offer
+                if (!accepts(bin) || !Placer.allowed(spec, offer.type, offer.zone, offer.spot)) continue
+                val zoneRoom = spec.zoneCap - (perZone[offer.zone] ?: 0)
+                val taken = minOf(left, zoneRoom, spec.demand.countIn(bin.roomFor(spec)))
+                if (taken <= 0) continue
+                bin.take(spec, taken)
+                perZone.merge(offer.zone, taken, Int::plus)
+                left -= taken
             }
+            return left
         }
-        return Plan(rented, bins.filter { !it.used }.mapNotNullTo(HashSet()) { it.machine })
-    }
 
-    /** Puts up to [count] tasks into [bins]; says how many are left. */
-    private inline fun fill(
-        spec: JobSpec,
-        count: Int,
-        bins: List<Bin>,
-        counts: MutableMap<String, Int>,
-        among: (Bin) -> Boolean,
-    ): Int {
-        var left = count
-        for (bin in bins) {
-            if (left == 0) break
-            val offer = bin.offer
-            if (!among(bin) || !Placer.allowed(spec, offer.type, offer.zone, offer.spot)) continue
-            val taken = minOf(left, spec.zoneCap - (counts[offer.zone] ?: 0), spec.demand.countIn(bin.roomFor(spec)))
-            if (taken <= 0) continue
-            bin.take(spec, taken)
-            counts.merge(offer.zone, taken, Int::plus)
-            left -= taken
+        /** A bin for a new machine of the cheapest suitable offer; null if there is none or enough machines are planned. */
+        private fun openBin(
+            demand: CapacityDemand,
+            left: Int,
+            perZone: Map<String, Int>,
+        ): MachineBin? {
+            if (newMachines.values.sum() >= maxNewMachines) return null
+            val byPreference =
+                compareBy<Offer>(
+                    { costPerTask(it, demand.spec, left) },
+                    { perZone[it.zone] ?: 0 },
+                    { newMachines[it] ?: 0 },
+                    { it.zone },
+                )
+            val offer = offers.filter { isSuitable(it, demand, perZone) }.minWithOrNull(byPreference) ?: return null
+            newMachines.merge(offer, 1, Int::plus)
+            return MachineBin(offer, capacityOf(offer), Resources.ZERO, null)
         }
-        return left
     }
 
-    private fun open(
-        want: Want,
-        counts: Map<String, Int>,
-        left: Int,
-        rented: MutableMap<Offer, Int>,
-        maxNew: Int,
-    ): Bin? {
-        if (rented.values.sum() >= maxNew) return null
-        val offer =
-            offers
-                .filter { (counts[it.zone] ?: 0) < want.spec.zoneCap }
-                .filter { Placer.allowed(want.spec, it.type, it.zone, it.spot) && available(it) }
-                .filter { it.spot || !want.spec.spot || want.ordinary }
-                .filter { want.spec.demand.countIn(capacityOf(it)) > 0 }
-                .minWithOrNull(compareBy({ cost(it, want.spec, left) }, { counts[it.zone] ?: 0 }, { rented[it] ?: 0 }, { it.zone }))
-                ?: return null
-        rented.merge(offer, 1, Int::plus)
-        return Bin(offer, capacityOf(offer), Resources.ZERO, null)
+    private fun isSuitable(
+        offer: Offer,
+        demand: CapacityDemand,
+        perZone: Map<String, Int>,
+    ): Boolean {
+        val spec = demand.spec
+        if ((perZone[offer.zone] ?: 0) >= spec.zoneCap) return false
+        if (!Placer.allowed(spec, offer.type, offer.zone, offer.spot) || !isAvailable(offer)) return false
+        if (!offer.spot && spec.spot && !demand.mayRentOnDemand) return false
+        return spec.demand.countIn(capacityOf(offer)) > 0
     }
 
     private fun capacityOf(offer: Offer): Resources = types[offer.type]?.capacity ?: Resources.ZERO
 
-    /** Price for each task that the machine would hold. */
-    fun cost(
+    /** Price for each task that the machine would hold of [left] ones. */
+    private fun costPerTask(
         offer: Offer,
         spec: JobSpec,
         left: Int,
@@ -158,11 +209,12 @@
         val type = types[offer.type] ?: return Double.MAX_VALUE
         val count = minOf(spec.demand.countIn(type.capacity), maxOf(left, 1))
         val price = if (offer.spot) type.spotPrice else type.price
-        return price * (if (troubled(offer)) TROUBLED_FACTOR else 1.0) / maxOf(count, 1)
+        val factor = if (bootsSlowly(offer)) SLOW_BOOT_PRICE_FACTOR else 1.0
+        return price * factor / maxOf(count, 1)
     }
 
     private companion object {
-        /** How many times as much a machine may cost that is up in time. */
-        const val TROUBLED_FACTOR = 1.5
+        /** How many times as much a machine may cost that boots in time. */
+        const val SLOW_BOOT_PRICE_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -9,9 +9,17 @@
 import mintpick.engine.agents.MachineRegistry
 import mintpick.engine.agents.Reconciler
 import mintpick.engine.capacity.CapacityPlanner
+import mintpick.engine.capacity.CapacityView
+import mintpick.engine.capacity.CloudClient
 import mintpick.engine.capacity.CloudInventory
+import mintpick.engine.capacity.DemandForecast
+import mintpick.engine.capacity.IdleMachines
+import mintpick.engine.capacity.LeaderStatus
 import mintpick.engine.capacity.MachineMonitor
 import mintpick.engine.jobs.JobAnswers
+import mintpick.engine.capacity.MachineTypeCatalog
+import mintpick.engine.capacity.ScaleIn
+import mintpick.engine.capacity.ScaleOut
 import mintpick.engine.jobs.JobUpdates
 import mintpick.engine.jobs.JobUrgency
 import mintpick.engine.jobs.PendingRequests
@@ -72,22 +80,18 @@
         JobPlacer(context, shardClaims, agents, reconciler, machineCandidates, jobUrgency, operators.placementSample)
     private val scheduler =
         Scheduler(context, jobQueue, controllerSelection, machineCandidates, faultyJobs, jobPlacer, preemptionPlanner)
-    private val cloudInventory = CloudInventory(context, stateStore, shardClaims, agents, reconciler, health, formats)
+    private val cloudClient = CloudClient(context)
+    private val machineTypes = MachineTypeCatalog(context, stateStore, shardClaims, formats, cloudClient)
+    private val cloudInventory = CloudInventory(context, stateStore, shardClaims, agents, reconciler, cloudClient, machineTypes)
+    private val scaleOut = ScaleOut(context, cloudClient, cloudInventory)
     private val machineRegistry = MachineRegistry(context, stateStore, shardClaims, agents, reconciler, formats)
+    private val leaderStatus = LeaderStatus(context, stateStore, shardClaims, health)
+    private val scaleIn = ScaleIn(context, leaderStatus, reconciler, cloudClient, cloudInventory, machineRegistry)
+    private val capacityView = CapacityView(context, shardClaims, agents, reconciler, commandPlanner, cloudInventory, scaleOut)
+    private val demandForecast = DemandForecast(context, scheduler, operators)
+    private val idleMachines = IdleMachines(context, machineRegistry, operators)
     private val capacityPlanner =
-        CapacityPlanner(
-            context,
-            stateStore,
-            shardClaims,
-            agents,
-            reconciler,
-            cloudInventory,
-            machineRegistry,
-            commandPlanner,
-            scheduler,
-            health,
-            operators,
-        )
+        CapacityPlanner(context, leaderStatus, demandForecast, capacityView, idleMachines, scaleOut, scaleIn)
     private val transactionLimits = TransactionLimits(settings.limits.transactionOps)
     private val jobAnswers = JobAnswers(context, stateStore)
     private val pendingRequests = PendingRequests(context, stateStore, jobAnswers)
--- a/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
@@ -1,6 +1,7 @@
 package mintpick.engine.agents
 
 import mintpick.core.AttemptId
+import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineView
 import mintpick.core.SECOND
@@ -16,44 +17,59 @@
 import mintpick.wire.TaskState
 import mintpick.wire.Verb
 
-/** Works out the commands that bring a machine in line with the records. */
+/** Plans the commands that bring a machine in line with the records. Event-loop thread only. */
 class CommandPlanner(
     private val context: EngineContext,
     private val health: ControllerHealth,
 ) {
-    /** Attempts to be stopped although their jobs go on: preempted, or on a machine that is to be emptied. */
-    val stopping = HashMap<AttemptId, String>()
+    private val stopReasons = HashMap<AttemptId, StopReason>()
 
     private val cache get() = context.cache
 
-    /** Only tasks of cancelled jobs are stopped until the records are at least as new as our [claim]. */
+    /** Attempts that are stopped although their jobs are open. */
+    val stopping: Set<AttemptId> get() = stopReasons.keys
+
+    /** Whether [attempt] is stopped although its job is open. */
+    fun isStopping(attempt: AttemptId): Boolean = attempt in stopReasons
+
+    /** Stops [attempts] with the next commands to their machines, to make room for another job. */
+    fun preempt(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons[it] = StopReason.PREEMPTED }
+
+    /**
+     * A transaction that requeues [attempts] is under way. Until its outcome is known they are not started again, as by a
+     * machine that has come back: committed late, it would have their successors run beside them.
+     */
+    fun requeueSent(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.putIfAbsent(it, StopReason.REQUEUE_SENT) }
+
+    /** That transaction is not and will not be committed. */
+    fun requeueFailed(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.remove(it, StopReason.REQUEUE_SENT) }
+
+    /** That transaction may be committed at any later time: only another requeue settles [attempts]. */
+    fun requeueUnknown(attempts: Collection<AttemptId>) =
+        attempts.forEach { stopReasons.replace(it, StopReason.REQUEUE_SENT, StopReason.REQUEUE_UNKNOWN) }
+
+    /** Forgets attempts that the records no longer show. */
+    fun clean() {
+        if (stopReasons.isEmpty()) return
+        stopReasons.keys.removeIf { attempt -> cache.job(attempt.task.job)?.placement(attempt.task.index)?.attempt != attempt.attempt }
+    }
+
+    /**
+     * All commands that [view]'s machine needs: what to forget, to stop and to start, in this order. Only tasks of cancelled
+     * jobs are stopped until the records are at least as new as [claim], which gives this controller the machine.
+     */
     fun commandsFor(
         view: MachineView,
         claim: Claim,
     ): List<Command> {
         if (cache.revision < claim.version) return stopsOfCancelled(view)
-        val wanted = cache.tasksOn(view.id)
-        val reaps = ArrayList<Command>()
-        val stops = ArrayList<Command>()
-        val starts = ArrayList<Command>()
-        for ((attempt, task) in view.reported) {
-            val isWanted = wanted[attempt.task] == attempt.attempt
-            if (task.state == TaskState.EXITED) {
-                if (!isWanted && view.mayForget(attempt, claim.version)) reaps += command(Verb.FORGET, attempt)
-            } else {
-                stopFor(view, claim, attempt, task, isWanted)?.let { stops += it }
-            }
-        }
-        for ((task, number) in wanted) {
-            val attempt = AttemptId(task, number)
-            if (view.state(attempt) == null && mayStart(view, claim, attempt)) starts += command(Verb.START, attempt)
-        }
-        return reaps + stops + starts
+        return forgetsFor(view, claim) + stopsFor(view, claim) + startsFor(view, claim)
     }
 
     /**
      * What the answer to a report carries: each renewal of a lease comes with the stops of all cancelled tasks that the
-     * machine has shown. Starts that were not sent at once wait while a cancellation could have been confirmed unknown to us.
+     * machine has shown. Starts that were not sent at once wait while a cancellation could have been confirmed to its user
+     * that this controller does not know of.
      */
     fun answerFor(
         view: MachineView,
@@ -67,73 +83,104 @@
     fun stopsOfCancelled(view: MachineView): List<Command> =
         view.reported
             .filter { (attempt, task) -> task.state != TaskState.EXITED && isCancelled(attempt.task.job) }
-            .map { (attempt, _) -> command(Verb.STOP, attempt, 0) }
+            .map { (attempt, _) -> command(Verb.STOP, attempt, NO_GRACE_S) }
 
-    private fun isCancelled(job: JobId): Boolean = cache.job(job)?.stage == StoredStage.CANCELLED || health.cancelledElsewhere(job)
-
-    private fun mayStart(
-        view: MachineView,
-        claim: Claim,
-        attempt: AttemptId,
-    ): Boolean {
-        val job = cache.job(attempt.task.job) ?: return false
-        return job.stage == StoredStage.OPEN && !health.cancelledElsewhere(job.id) && attempt !in stopping && !isEmptying(view, claim)
-    }
-
-    private fun retiring(view: MachineView): Retiring = cache.machines[view.id]?.record?.retiring ?: Retiring.NO
-
-    /** Whether what has not started yet should not start here any more. */
+    /** Whether what has not started yet should not start on [view]'s machine any more. */
     fun isEmptying(
         view: MachineView,
         claim: Claim?,
-    ): Boolean = isNoticed(view, claim) || retiring(view) != Retiring.NO
+    ): Boolean = isNoticed(view, claim) || isRetiring(view)
 
-    /** A notice counts once our own token was shown with it: a late copy of a report may bring back an old one. */
+    /**
+     * Whether the machine has a notice of its termination. It counts once this controller's own fencing token was shown with
+     * it: a late copy of a report may bring back an old notice.
+     */
     fun isNoticed(
         view: MachineView,
         claim: Claim?,
     ): Boolean = view.noticeEndsUs != null && claim != null && view.token >= claim.version
 
+    private fun isRetiring(view: MachineView): Boolean {
+        val record = cache.machines[view.id]?.record ?: return false
+        return record.retiring != Retiring.NO
+    }
+
+    private fun isCancelled(job: JobId): Boolean = cache.job(job)?.stage == StoredStage.CANCELLED || health.cancelledElsewhere(job)
+
+    private fun isRunnable(job: Job): Boolean = job.stage == StoredStage.OPEN && !health.cancelledElsewhere(job.id)
+
+    private fun isPlacedOn(
+        view: MachineView,
+        attempt: AttemptId,
+    ): Boolean = cache.tasksOn(view.id)[attempt.task] == attempt.attempt
+
+    private fun forgetsFor(
+        view: MachineView,
+        claim: Claim,
+    ): List<Command> =
+        view.reported
+            .filter { (attempt, task) ->
+                task.state == TaskState.EXITED && !isPlacedOn(view, attempt) && view.mayForget(attempt, claim.version)
+            }.map { (attempt, _) -> command(Verb.FORGET, attempt) }
+
+    private fun stopsFor(
+        view: MachineView,
+        claim: Claim,
+    ): List<Command> =
+        view.reported
+            .filter { (_, task) -> task.state != TaskState.EXITED }
+            .mapNotNull { (attempt, task) -> stopFor(view, claim, attempt, task) }
+
+    /** The command that stops [attempt]; null if it is to go on or saves its progress already. */
     private fun stopFor(
         view: MachineView,
         claim: Claim,
         attempt: AttemptId,
         task: TaskReport,
-        isWanted: Boolean,
     ): Command? {
         val job = cache.job(attempt.task.job)
-        val goesOn = isWanted && job?.stage == StoredStage.OPEN && !health.cancelledElsewhere(job.id)
-        if (job == null || !goesOn) return command(Verb.STOP, attempt, 0)
-        val leaves = attempt in stopping || leavesWithMachine(view, claim, job.spec.isService, job.spec.estimateS)
-        if (!leaves || task.state == TaskState.SAVING) return null
-        val left = view.noticeEndsUs?.let { (it - context.now) / SECOND / 2 } ?: MAX_GRACE_S
-        return command(Verb.STOP, attempt, if (left >= job.spec.saveS) left.toInt() else 0)
+        if (job == null || !isRunnable(job) || !isPlacedOn(view, attempt)) return command(Verb.STOP, attempt, NO_GRACE_S)
+        val isToStop = isStopping(attempt) || leavesWithMachine(view, claim, job)
+        if (!isToStop || task.state == TaskState.SAVING) return null
+        val graceS = graceSeconds(view)
+        val canSave = graceS >= job.spec.saveS
+        return command(Verb.STOP, attempt, if (canSave) graceS.toInt() else NO_GRACE_S)
+    }
+
+    /** How long a task may go on to save its progress: half of the time that a machine with a notice has left. */
+    private fun graceSeconds(view: MachineView): Long {
+        val noticeEndsUs = view.noticeEndsUs ?: return MAX_GRACE_S
+        return (noticeEndsUs - context.now) / SECOND / 2
     }
 
     /** Services leave a machine that is to go at once; work that ends soon may finish on one that is only being drained. */
     private fun leavesWithMachine(
         view: MachineView,
         claim: Claim,
-        service: Boolean,
-        estimateS: Double,
-    ): Boolean = isNoticed(view, claim) || (retiring(view) != Retiring.NO && (service || estimateS > DRAIN_PATIENCE_S))
-
-    /**
-     * A transaction that requeues [attempts] is under way. Until its outcome is known they are not started again, as by a
-     * machine that has come back: carried out late, it would have their successors run beside them.
-     */
-    fun requeueSent(attempts: Collection<AttemptId>) = attempts.forEach { stopping.putIfAbsent(it, REQUEUE_SENT) }
-
-    /** That transaction was not and will not be carried out. */
-    fun requeueFailed(attempts: Collection<AttemptId>) = attempts.forEach { stopping.remove(it, REQUEUE_SENT) }
+        job: Job,
+    ): Boolean {
+        if (isNoticed(view, claim)) return true
+        val leavesAtOnce = job.spec.isService || job.spec.estimateS > MAX_DRAIN_ESTIMATE_S
+        return isRetiring(view) && leavesAtOnce
+    }
 
-    /** That transaction may be carried out at any later time: only another requeue settles these attempts. */
-    fun requeueUnknown(attempts: Collection<AttemptId>) = attempts.forEach { stopping.replace(it, REQUEUE_SENT, REQUEUE_UNKNOWN) }
+    private fun startsFor(
+        view: MachineView,
+        claim: Claim,
+    ): List<Command> =
+        cache
+            .tasksOn(view.id)
+            .map { (task, attempt) -> AttemptId(task, attempt) }
+            .filter { view.state(it) == null && mayStart(view, claim, it) }
+            .map { command(Verb.START, it) }
 
-    /** Forgets stops that are over. */
-    fun clean() {
-        if (stopping.isEmpty()) return
-        stopping.keys.removeIf { attempt -> cache.job(attempt.task.job)?.placement(attempt.task.index)?.attempt != attempt.attempt }
+    private fun mayStart(
+        view: MachineView,
+        claim: Claim,
+        attempt: AttemptId,
+    ): Boolean {
+        val job = cache.job(attempt.task.job) ?: return false
+        return isRunnable(job) && !isStopping(attempt) && !isEmptying(view, claim)
     }
 
     private fun command(
@@ -143,14 +190,21 @@
     ) = Command(verb, attempt.task.toString(), attempt.attempt, graceS)
 
     companion object {
-        private const val REQUEUE_SENT = "requeue sent"
-        private const val REQUEUE_UNKNOWN = "requeue unknown"
+        private const val NO_GRACE_S = 0
         private const val MAX_GRACE_S = 30L
-        private const val DRAIN_PATIENCE_S = 60.0
 
+        /** Work with a longer estimate does not finish on a machine that is being drained. */
+        private const val MAX_DRAIN_ESTIMATE_S = 60.0
+
+        /** The attempts that [commands] start. */
         fun starts(commands: List<Command>): Set<AttemptId> =
             commands
                 .filter { it.verb == Verb.START }
-                .mapNotNullTo(HashSet()) { command -> TaskId.parse(command.task)?.let { AttemptId(it, command.attempt) } }
+                .mapNotNullTo(HashSet(), ::attemptOf)
+
+        private fun attemptOf(command: Command): AttemptId? {
+            val task = TaskId.parse(command.task) ?: return null
+            return AttemptId(task, command.attempt)
+        }
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
@@ -0,0 +1,98 @@
+package mintpick.engine.agents
+
+import mintpick.core.MachineId
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.state.FormatGate
+import mintpick.engine.state.MachineListLayout
+import mintpick.engine.state.Write
+import mintpick.store.Keys
+import mintpick.wire.Guard
+import org.slf4j.LoggerFactory
+
+/** A transaction that writes as much of some [MachineListChanges] as it has room for. */
+class MachineListTransaction(
+    val guards: List<Guard>,
+    val writes: List<Write>,
+    /** The requests that are settled once it is committed. */
+    val settled: List<ScaleInRequest>,
+)
+
+/** Builds transactions that change the machine list. Event-loop thread only. */
+class MachineListTransactionBuilder(
+    private val context: EngineContext,
+    private val formats: FormatGate,
+) {
+    private val cache get() = context.cache
+    private val maxOperations get() = context.settings.limits.transactionOps
+
+    /** The transaction for [changes]; null if nothing of them can be written now. */
+    fun build(changes: MachineListChanges): MachineListTransaction? {
+        val layout = MachineListLayout(cache.tablesOf(changes.partition), formats.valueBytes, formats.current)
+        val placed = applyTo(layout, changes)
+        val reserved = minOf(MAX_OBSOLETE_RECORDS * 2, maxOperations / 2)
+        val pieces = layout.changed(maxOf(1, maxOperations - reserved), MAX_BYTES)
+        if (pieces.isEmpty()) return null
+        val written = pieces.values.flatMapTo(HashSet()) { it.machines.keys }
+        val removed = changes.terminated.map { it.id }.filter { id -> pieces.values.any { id in it.removed } }
+        val listWrites = pieces.map { (number, piece) -> Write(Keys.machineList(changes.partition, number), piece.value) }
+        val borrowWrites = endsOfBorrowings(removed, maxOf(0, maxOperations - pieces.size))
+        val legacyRoom = maxOf(0, maxOperations - pieces.size) - borrowWrites.size
+        val moved = (changes.added.keys + changes.scaledIn.map { it.machine }).filter { it in written }
+        // Borrowings first: of a machine that is removed after them no end of a borrowing has to be kept.
+        val writes = borrowWrites + listWrites + removalsOfLegacyRecords(moved + removed, legacyRoom)
+        return MachineListTransaction(guardsOf(changes.partition, layout), writes, placed.filter { it.machine in written })
+    }
+
+    /** Makes [changes] in [layout]; returns the requests that found room there. */
+    private fun applyTo(
+        layout: MachineListLayout,
+        changes: MachineListChanges,
+    ): List<ScaleInRequest> {
+        // What an earlier version stored in records of their own moves into the list with the request.
+        val legacy = changes.scaledIn.mapNotNull { cache.machines[it.machine] }.filter { it.legacy }
+        val records = legacy.associate { it.id to it.record } + changes.added
+        records.forEach { (id, record) -> layout.add(id, record) }
+        changes.terminated.forEach { layout.remove(it.id) }
+        val placed = changes.scaledIn.filter { layout.mark(it.machine, it.mode) }
+        val waiting = changes.scaledIn.size - placed.size
+        if (waiting > 0) LOG.warn("machine list full part={} marks={} waiting", changes.partition, waiting)
+        return placed
+    }
+
+    private fun endsOfBorrowings(
+        removed: List<MachineId>,
+        room: Int,
+    ): List<Write> =
+        removed
+            .filter { it in cache.borrows }
+            .take(minOf(MAX_OBSOLETE_RECORDS, room))
+            .map { Write(Keys.borrow(it.text), null) }
+
+    private fun removalsOfLegacyRecords(
+        machines: List<MachineId>,
+        room: Int,
+    ): List<Write> =
+        machines
+            .filter { cache.machines[it]?.legacy == true }
+            .take(minOf(MAX_OBSOLETE_RECORDS, room))
+            .map { Write(Keys.machine(it.text), null) }
+
+    /** All pieces of a partition, also those that do not exist yet: a machine must never be listed in two of them. */
+    private fun guardsOf(
+        partition: Int,
+        layout: MachineListLayout,
+    ): List<Guard> =
+        layout.numbers
+            .map { Keys.machineList(partition, it) }
+            .map { Guard(it, cache.version(it)) }
+
+    private companion object {
+        val LOG = LoggerFactory.getLogger(MachineListTransactionBuilder::class.java)
+
+        /** Bytes of the pieces that one transaction may carry; the rest is written with the next. */
+        const val MAX_BYTES = 40_000
+
+        /** Most borrowings, and most records of earlier versions, that one transaction removes. */
+        const val MAX_OBSOLETE_RECORDS = 3
+    }
+}
--- a/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
@@ -2,27 +2,23 @@
 
 import mintpick.core.MILLI
 import mintpick.core.MachineId
+import mintpick.core.MachineView
 import mintpick.core.Micros
 import mintpick.core.SECOND
-import mintpick.engine.cache.KnownMachine
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.runtime.TokenBucket
 import mintpick.engine.state.FormatGate
-import mintpick.engine.state.MachineListLayout
 import mintpick.engine.state.StateStoreClient
-import mintpick.engine.state.Write
-import mintpick.store.Keys
 import mintpick.store.TransactionResult
-import mintpick.wire.Guard
 import mintpick.wire.MachineRecord
 import mintpick.wire.Retiring
 import org.slf4j.LoggerFactory
 
 /**
- * The durable list of machines, one record for each part: writes down machines that have reported, marks the
- * ones to be given up, and strikes out those proven gone. What comes within a moment goes in one write, since a
- * fleet that boots or is taken back in a wave would otherwise use up the writes that jobs need.
+ * The durable list of machines by partition: adds machines that have reported, marks the ones to be scaled in, and removes
+ * those proven to be terminated. What comes within a moment goes in one write, since a cluster that boots or is scaled in
+ * in a wave would otherwise use up the writes that jobs need. Event-loop thread only.
  */
 class MachineRegistry(
     private val context: EngineContext,
@@ -30,147 +26,162 @@
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
     private val reconciler: Reconciler,
-    private val formats: FormatGate,
+    formats: FormatGate,
 ) {
-    private class Mark(
-        val how: Retiring,
-        val reason: String,
-    )
-
-    private val marks = LinkedHashMap<MachineId, Mark>()
-    private val busy = HashSet<Int>()
-    private val nextUs = HashMap<Int, Micros>()
+    /** Writes of one partition of the list. */
+    private class PartitionWrites {
+        /** Whether a transaction is under way. */
+        var isBusy = false
+
+        /** When the next one may be sent; 0 if at once. */
+        var nextUs: Micros = 0
+    }
+
+    private val transactions = MachineListTransactionBuilder(context, formats)
+    private val requests = LinkedHashMap<MachineId, ScaleInRequest>()
+    private val partitions = HashMap<Int, PartitionWrites>()
     private var nextTickUs: Micros = 0
 
-    /** What is written down about machines may use this much of the limits; the rest is for jobs. */
-    private val share = context.settings.limits.writeRps / (context.settings.peers.size + 1) * WRITE_PART
-    private val writes = TokenBucket(share, maxOf(2.0, share * 2))
+    /** The machine list may use this much of the limits; the rest is for jobs. */
+    private val writesPerSecond = context.settings.limits.writeRps / (context.settings.peers.size + 1) * WRITE_SHARE
+    private val writeBudget = TokenBucket(writesPerSecond, maxOf(2.0, writesPerSecond * 2))
 
     private val cache get() = context.cache
 
-    /** Marks a machine as one to be emptied, or to be given up at once. */
+    /** Marks the listed [machine] as one to be drained, or to be released at once; [reason] goes into the log. */
     fun retire(
-        id: MachineId,
-        how: Retiring,
+        machine: MachineId,
+        mode: Retiring,
         reason: String,
     ) {
-        val known = cache.machines[id] ?: return
-        if (known.record.retiring == how || known.record.retiring == Retiring.NOW || marks[id]?.how == Retiring.NOW) return
-        marks[id] = Mark(how, reason)
+        val current = cache.machines[machine]?.record?.retiring ?: return
+        if (current == mode || current == Retiring.NOW || requests[machine]?.isImmediate == true) return
+        val request = ScaleInRequest(machine, mode, reason)
+        requests[machine] = request
         // What is lost is not to wait for others.
-        if (how == Retiring.NOW) nextUs[shardClaims.part(id.text)] = 0
-        nextTickUs = minOf(nextTickUs, context.now + GATHER)
+        if (request.isImmediate) writesOf(partitionOf(machine)).nextUs = 0
+        nextTickUs = minOf(nextTickUs, context.now + BATCH_DELAY)
     }
 
-    /** Whether [id] waits to be written down as one to be given up. */
-    fun isMarked(id: MachineId): Boolean = id in marks
+    /** Whether [machine] waits to be marked as one to be scaled in. */
+    fun isMarked(machine: MachineId): Boolean = machine in requests
 
+    /** Sends the writes that are due. */
     fun tick() {
         if (!stateStore.serving || !stateStore.reachable || context.now < nextTickUs) return
-        nextTickUs = context.now + TICK
-        val added = HashMap<Int, MutableMap<MachineId, MachineRecord>>()
-        for (view in agents.views()) {
-            val report = view.latest ?: continue
-            val known = cache.machines[view.id]
-            if ((known != null && !known.legacy) ||
-                reconciler.isGone(view.id) ||
-                !agents.isConfirmed(view) ||
-                !agents.isFresh(view)
-            ) {
-                continue
-            }
-            added.getOrPut(shardClaims.part(view.id.text)) { HashMap() }[view.id] =
-                known?.record ?: MachineRecord(report.type, report.zone, report.spot, report.address)
+        nextTickUs = context.now + TICK_INTERVAL
+        // The longest waiting first: otherwise the same few would take all writes while a cluster boots.
+        val changes = collectChanges().sortedBy { writesOf(it.partition).nextUs }
+        for (change in changes) {
+            if (isDue(change) && takeWrite(change)) write(change)
+        }
+    }
+
+    private fun writesOf(partition: Int): PartitionWrites = partitions.getOrPut(partition) { PartitionWrites() }
+
+    /** Only its controller judges a machine to be lost: another's silence says nothing. */
+    private fun dropObsoleteRequests() {
+        requests.values.removeIf { request ->
+            request.machine !in cache.machines ||
+                reconciler.isGone(request.machine) ||
+                (request.isImmediate && !shardClaims.controls(request.machine))
         }
-        val dropped =
+    }
+
+    private fun collectChanges(): List<MachineListChanges> {
+        val added = agents.views().filter(::isToBeAdded).groupBy { partitionOf(it.id) }
+        val terminated =
             cache.machines.values
                 .filter { reconciler.isGone(it.id) && cache.tasksOn(it.id).isEmpty() }
-                .groupBy { shardClaims.part(it.id.text) }
-        // Only its controller judges a machine to be lost: another's silence says nothing.
-        marks.entries.removeIf { (id, mark) ->
-            id !in cache.machines ||
-                reconciler.isGone(id) ||
-                (mark.how == Retiring.NOW && !shardClaims.controls(id))
-        }
-        val marked = marks.entries.groupBy { shardClaims.part(it.key.text) }
-        // The longest waiting first: otherwise the same few would take all writes while a fleet boots.
-        for (part in (added.keys + marked.keys + dropped.keys).sortedBy { nextUs[it] ?: 0 }) {
-            val hurry = marked[part].orEmpty().any { it.value.how == Retiring.NOW }
-            // Its own part of the writes is enough: what places tasks would leave none, and an unlisted machine takes no task.
-            if (part in busy || (!hurry && context.now < (nextUs[part] ?: 0)) || !stateStore.mayWrite) continue
-            // Gone machines harm nobody by being listed: they alone are reason enough only now and then.
-            if (part !in added && part !in marked && context.now < (nextUs[part] ?: 0) + DROP_WAIT) continue
-            if (hurry) {
-                writes.force(context.now, 1.0)
-            } else if (!writes.take(context.now, 1.0)) {
-                continue
-            }
-            store(part, added[part].orEmpty(), marked[part].orEmpty().associate { it.key to it.value }, dropped[part].orEmpty())
+                .groupBy { partitionOf(it.id) }
+        dropObsoleteRequests()
+        val scaledIn = requests.values.groupBy { partitionOf(it.machine) }
+        // In the order of a HashSet, which decides among partitions that may be written since the same time.
+        val addedPartitions = added.keys.toCollection(HashSet())
+        return (addedPartitions + scaledIn.keys + terminated.keys).map { partition ->
+            MachineListChanges(
+                partition,
+                added[partition].orEmpty().associateTo(HashMap()) { it.id to recordOf(it) },
+                scaledIn[partition].orEmpty(),
+                terminated[partition].orEmpty(),
+            )
         }
     }
 
-    private fun store(
-        part: Int,
-        added: Map<MachineId, MachineRecord>,
-        marked: Map<MachineId, Mark>,
-        dropped: List<KnownMachine>,
-    ) {
-        val pieces = MachineListLayout(cache.tablesOf(part), formats.valueBytes, formats.current)
-        // What an earlier version stored in records of their own moves over with its mark.
-        val legacyMarked = marked.keys.mapNotNull { cache.machines[it] }.filter { it.legacy }
-        (legacyMarked.associate { it.id to it.record } + added).forEach { (id, record) -> pieces.add(id, record) }
-        dropped.forEach { pieces.remove(it.id) }
-        val written = marked.filter { (id, mark) -> pieces.mark(id, mark.how) }
-        if (written.size < marked.size) LOG.warn("fleet record full part={} marks={} waiting", part, marked.size - written.size)
-        val ops = context.settings.limits.transactionOps
-        val changed = pieces.changed(maxOf(1, ops - minOf(MAX_OLD * 2, ops / 2)), MAX_BYTES)
-        nextUs[part] = context.now + EVERY
-        if (changed.isEmpty()) return
-        busy += part
-        val machines = changed.values.flatMapTo(HashSet()) { it.machines.keys }
-        val gone = dropped.filter { known -> changed.values.any { known.id in it.removed } }.map { it.id }
-        val old = (added.keys + marked.keys).filter { it in machines } + gone
-        val left = maxOf(0, ops - changed.size)
-        val borrows = gone.filter { it in cache.borrows }.take(minOf(MAX_OLD, left)).map { Write(Keys.borrow(it.text), null) }
-        val legacyKeys = old.filter { cache.machines[it]?.legacy == true }.map { Keys.machine(it.text) }
-        val legacy = legacyKeys.take(minOf(MAX_OLD, left - borrows.size)).map { Write(it, null) }
-        // Borrowings first: of a machine that is struck out after them no end of a borrowing has to be kept.
-        val writes = borrows + changed.map { (piece, table) -> Write(Keys.machineList(part, piece), table.value) } + legacy
-        this.writes.force(context.now, (writes.size - 1).toDouble())
-        stateStore.transact(guardsOf(part, pieces), writes) { result ->
-            busy -= part
+    private fun partitionOf(machine: MachineId): Int = shardClaims.part(machine.text)
+
+    /** Whether the machine is alive and not in the list, or only in a record of an earlier version. */
+    private fun isToBeAdded(view: MachineView): Boolean {
+        val known = cache.machines[view.id]
+        val isListed = known != null && !known.legacy
+        return view.latest != null &&
+            !isListed &&
+            !reconciler.isGone(view.id) &&
+            agents.isConfirmed(view) &&
+            agents.isFresh(view)
+    }
+
+    private fun recordOf(view: MachineView): MachineRecord {
+        cache.machines[view.id]?.let { return it.record }
+        val report = checkNotNull(view.latest) { "only machines that have reported are added" }
+        return MachineRecord(report.type, report.zone, report.spot, report.address)
+    }
+
+    private fun isDue(change: MachineListChanges): Boolean {
+        val writes = writesOf(change.partition)
+        // The list's share of the writes is enough: what places tasks would leave none, and an unlisted machine takes no task.
+        val mayWrite = !writes.isBusy && (change.isUrgent || context.now >= writes.nextUs) && stateStore.mayWrite
+        if (!mayWrite) return false
+        // Terminated machines harm nobody by being listed: they alone are reason enough only now and then.
+        return !change.removesOnly || context.now >= writes.nextUs + REMOVAL_DELAY
+    }
+
+    private fun takeWrite(change: MachineListChanges): Boolean {
+        if (!change.isUrgent) return writeBudget.take(context.now, 1.0)
+        writeBudget.force(context.now, 1.0)
+        return true
+    }
+
+    private fun write(change: MachineListChanges) {
+        val writes = writesOf(change.partition)
+        val transaction = transactions.build(change)
+        writes.nextUs = context.now + WRITE_INTERVAL
+        if (transaction == null) return
+        writes.isBusy = true
+        writeBudget.force(context.now, (transaction.writes.size - 1).toDouble())
+        stateStore.transact(transaction.guards, transaction.writes) { result ->
+            writes.isBusy = false
             if (result is TransactionResult.Committed) {
-                for ((id, mark) in written) {
-                    if (id !in machines) continue
-                    marks.remove(id, mark)
-                    LOG.info("retire machine={} type={} how={} reason={}", id.text, typeOf(id), mark.how, mark.reason)
-                }
+                transaction.settled.forEach(::onSettled)
             } else {
-                nextUs[part] = context.now + RETRY
+                writes.nextUs = context.now + RETRY_DELAY
                 stateStore.caughtUp { }
             }
         }
     }
 
-    private fun typeOf(machine: MachineId): String? = cache.machines[machine]?.record?.type
-
-    /** All pieces of a part, also those that do not exist yet: a machine must never be listed in two of them. */
-    private fun guardsOf(
-        part: Int,
-        pieces: MachineListLayout,
-    ): List<Guard> = pieces.numbers.map { Keys.machineList(part, it) }.map { Guard(it, cache.version(it)) }
-
-    companion object {
-        private val LOG = LoggerFactory.getLogger(MachineRegistry::class.java)
-        private const val TICK: Micros = 400 * MILLI
-        private const val GATHER: Micros = 20 * MILLI
-        private const val EVERY: Micros = 800 * MILLI
-        private const val WRITE_PART = 0.2
-        private const val RETRY: Micros = 200 * MILLI
-        private const val DROP_WAIT: Micros = 3 * SECOND
-
-        /** Bytes of the pieces that one transaction may carry; the rest is written with the next. */
-        private const val MAX_BYTES = 40_000
-        private const val MAX_OLD = 3
+    private fun onSettled(request: ScaleInRequest) {
+        val machine = request.machine
+        requests.remove(machine, request)
+        val type = cache.machines[machine]?.record?.type
+        LOG.info("scale in machine={} type={} mode={} reason={}", machine.text, type, request.mode, request.reason)
+    }
+
+    private companion object {
+        val LOG = LoggerFactory.getLogger(MachineRegistry::class.java)
+        const val TICK_INTERVAL: Micros = 400 * MILLI
+
+        /** How long a request waits for others that come with it. */
+        const val BATCH_DELAY: Micros = 20 * MILLI
+
+        /** Between two writes of a partition. */
+        const val WRITE_INTERVAL: Micros = 800 * MILLI
+
+        /** Part of this controller's writes that the machine list may use. */
+        const val WRITE_SHARE = 0.2
+        const val RETRY_DELAY: Micros = 200 * MILLI
+
+        /** How long terminated machines wait for other changes to be written with. */
+        const val REMOVAL_DELAY: Micros = 3 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
@@ -18,7 +18,7 @@
     /** Claims by shard. */
     val claims: Map<Int, Claim> get() = claimsByShard
 
-    /** Machines that a controller commands apart from their shards. */
+    /** Claims of borrowed machines: their holders command them whoever holds their shards. */
     val borrows: Map<MachineId, Claim> get() = borrowsByMachine
 
     /** Revisions at which borrowings ended: all commands that were given under them have lower tokens. */
--- a/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -49,7 +49,7 @@
     /** Claims by shard. */
     val claims: Map<Int, Claim> get() = claimCache.claims
 
-    /** Machines that a controller commands apart from their shards. */
+    /** Claims of borrowed machines: their holders command them whoever holds their shards. */
     val borrows: Map<MachineId, Claim> get() = claimCache.borrows
 
     /** Revisions at which borrowings ended: all commands that were given under them have lower tokens. */
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudClient.kt
@@ -0,0 +1,29 @@
+package mintpick.engine.capacity
+
+import mintpick.cloud.CloudProtocol
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.runtime.TokenBucket
+
+/**
+ * The cloud's protocol, and this controller's parts of the cloud's rate limit. Rentals and releases, which only the leader
+ * requests, and reads, which every controller needs, have budgets of their own. Event-loop thread only.
+ */
+class CloudClient(
+    context: EngineContext,
+) {
+    /** Builds the calls and reads their answers. */
+    val protocol = CloudProtocol(context.settings.cloud.toString())
+
+    /** For rentals and releases. */
+    val changeBudget = budget(context.settings.cloudRps * CHANGE_PART)
+
+    /** For the lists of machines and of machine types; shared by all controllers. */
+    val readBudget = budget(context.settings.cloudRps * READ_PART / (context.settings.peers.size + 1))
+
+    private fun budget(perSecond: Double) = TokenBucket(perSecond, maxOf(1.0, perSecond * 2))
+
+    private companion object {
+        const val CHANGE_PART = 0.45
+        const val READ_PART = 0.45
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
@@ -0,0 +1,108 @@
+package mintpick.engine.capacity
+
+import mintpick.config.Operators
+import mintpick.core.CapacityDemand
+import mintpick.core.Job
+import mintpick.core.Room
+import mintpick.core.TeamQuota
+import mintpick.core.isService
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.scheduling.Scheduler
+import mintpick.wire.JobSpec
+import mintpick.wire.StoredStage
+import kotlin.math.ceil
+
+/** The demand for capacity: of the jobs that wait, and of those that are expected. Event-loop thread only. */
+class DemandForecast(
+    private val context: EngineContext,
+    private val scheduler: Scheduler,
+    private val operators: Operators,
+) {
+    private val classes = LinkedHashMap<String, ClassDemand>()
+
+    /** Seconds within which the settings expect jobs of a class to be finished, at the tightest. */
+    private val finishWithinS: Map<String?, Double> =
+        context.settings.objectives
+            .filter { it.kind == "finished" && it.withinS > 0 }
+            .groupBy { it.jobClass }
+            .mapValues { (_, objectives) -> objectives.minOf { it.withinS } }
+
+    private val cache get() = context.cache
+
+    /** Takes a sample of each class of jobs. */
+    fun observe() {
+        val tasksByClass = HashMap<String, Int>()
+        val quota = scheduler.teamQuota()
+        for (job in cache.jobs) {
+            if (job.stage != StoredStage.OPEN) continue
+            val jobClass = job.spec.jobClass
+            classes.getOrPut(jobClass) { ClassDemand(job.spec) }.observeJob(job.spec)
+            tasksByClass.merge(jobClass, takeRunnable(job, quota) + job.placed, Int::plus)
+        }
+        for ((name, seen) in classes) {
+            seen.addSample(DemandSample(context.now, tasksByClass[name] ?: 0), operators.batchMemoryUs)
+        }
+    }
+
+    /**
+     * Tasks of [job] that more machines would help: neither held back by its team's limit nor failing wherever they run.
+     * They are taken from [quota].
+     */
+    private fun takeRunnable(
+        job: Job,
+        quota: TeamQuota,
+    ): Int {
+        val count = minOf(scheduler.startable(job), quota.tasks(job.spec))
+        quota.take(job.spec, count)
+        return count
+    }
+
+    /**
+     * What waits, in the scheduler's order. Work that may use spot machines is worth on-demand ones when the spot machines
+     * among [rooms] would need too long for what waits: longer than a part of what its class is expected to take altogether.
+     */
+    fun waiting(rooms: List<Room>): List<CapacityDemand> {
+        val spotCpus = rooms.filter { it.spot }.sumOf { it.total.cpus }
+        val quota = scheduler.teamQuota()
+        var queuedCpuSeconds = 0.0
+        val demands = ArrayList<CapacityDemand>()
+        for (job in scheduler.order(cache.waitingJobs())) {
+            val spec = job.spec
+            // What its team's limit holds back now takes its time on the machines all the same.
+            queuedCpuSeconds += scheduler.startable(job) * spec.cpus * spec.estimateS
+            val count = takeRunnable(job, quota)
+            if (count == 0) continue
+            val keepsToSpot = scheduler.keepsToSpot(job)
+            val queuesTooLong = queuedCpuSeconds > maxQueueS(spec) * spotCpus
+            demands += CapacityDemand(spec, count, scheduler.zonesOf(job), !keepsToSpot && queuesTooLong, keepsToSpot)
+        }
+        return mergeDemands(demands).take(MAX_DEMANDS)
+    }
+
+    /** Seconds that work of the class may queue for spot machines. */
+    private fun maxQueueS(spec: JobSpec): Double = (finishWithinS[spec.jobClass] ?: DEFAULT_FINISH_WITHIN_S) * operators.queuePart
+
+    /** What has not come yet: like the recent peak for batch work, some spare replicas in each zone for services. */
+    fun expected(): List<CapacityDemand> =
+        classes.values.mapNotNull { seen -> if (seen.spec.isService) expectedReplicas(seen) else expectedBatch(seen) }
+
+    private fun expectedReplicas(seen: ClassDemand): CapacityDemand {
+        val headroom = ceil(seen.currentTasks * operators.serviceHeadroom).toInt()
+        val count = maxOf(seen.largestJobTasks, headroom) * 2
+        val spec = seen.spec.copy(tasks = count, spread = context.settings.zones.size > 1, zone = null)
+        return CapacityDemand(spec, count)
+    }
+
+    private fun expectedBatch(seen: ClassDemand): CapacityDemand? {
+        val count = ceil(seen.peakTasks * operators.batchHeadroom).toInt() - seen.currentTasks
+        if (count <= 0) return null
+        val spec = seen.spec.copy(spread = false, oneZone = false)
+        return CapacityDemand(spec, count, mayRentOnDemand = false, keepsToSpot = true)
+    }
+
+    private companion object {
+        /** The most demands that one plan considers. */
+        const val MAX_DEMANDS = 200
+        const val DEFAULT_FINISH_WITHIN_S = 60.0
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
@@ -0,0 +1,114 @@
+package mintpick.engine.membership
+
+import mintpick.config.Peer
+import mintpick.core.JobId
+import mintpick.core.MachineId
+import mintpick.core.Micros
+import mintpick.core.NodeId
+import mintpick.core.SECOND
+import mintpick.engine.runtime.EngineContext
+import mintpick.wire.PeerHint
+
+/** The newest hint of each other controller; a hint counts for [HINT_VALIDITY] only. See [ControllerHealth] for the functions. */
+internal class PeerHints(
+    private val context: EngineContext,
+) {
+    /** A machine as a peer has hinted at it. */
+    private class HintedMachine(
+        /** Its newest heartbeat to that peer, on our clock. */
+        val reportedUs: Micros,
+        val images: Set<String>,
+    )
+
+    private class ReceivedHint(
+        val atUs: Micros,
+        /** Since when the peer's hints have come without a break. */
+        val unbrokenSinceUs: Micros,
+        val hint: PeerHint,
+        /** By the newest hint that listed machines. */
+        val machines: Map<String, HintedMachine>,
+    ) {
+        val faultyJobs: Set<String> = hint.faultyJobs.toSet()
+    }
+
+    private val received = HashMap<NodeId, ReceivedHint>()
+
+    /** Takes in a configured peer's hint. */
+    fun onHint(hint: PeerHint) {
+        val node = NodeId(hint.node)
+        val before = received[node]
+        val unbrokenSinceUs = if (before != null && before.isRecent()) before.unbrokenSinceUs else context.now
+        val machines = if (hint.listsMachines || before == null) machinesIn(hint) else before.machines
+        received[node] = ReceivedHint(context.now, unbrokenSinceUs, hint, machines)
+    }
+
+    private fun machinesIn(hint: PeerHint): Map<String, HintedMachine> =
+        hint.machines.associate { it.machine to HintedMachine(context.now - it.ageUs, hint.imagesOn(it)) }
+
+    private fun ReceivedHint.isRecent(): Boolean = context.now - atUs < HINT_VALIDITY
+
+    fun isFaultyElsewhere(job: JobId): Boolean = received.values.any { job.text in it.faultyJobs && it.isRecent() }
+
+    fun hintedImages(within: Micros): Map<MachineId, Set<String>> {
+        val images = HashMap<MachineId, Set<String>>()
+        for (peer in received.values.filter { it.isRecent() }) {
+            for ((id, machine) in peer.machines) {
+                if (context.now - machine.reportedUs < within) images[MachineId(id)] = machine.images
+            }
+        }
+        return images
+    }
+
+    fun lacksRoom(node: NodeId): Boolean = !hears(node) || received[node]?.hint?.lacksRoom == true
+
+    fun hears(node: NodeId): Boolean = received[node]?.isRecent() ?: false
+
+    fun heardAllSince(since: Micros): Boolean = context.settings.peers.all { heardSince(it, since) }
+
+    private fun heardSince(
+        peer: Peer,
+        since: Micros,
+    ): Boolean = (received[NodeId(peer.node)]?.atUs ?: 0) > since
+
+    fun heardFromZone(
+        zone: String?,
+        since: Micros,
+    ): Boolean {
+        val witnesses = witnesses(zone)
+        return witnesses.isEmpty() || witnesses.any { heardSince(it, since) }
+    }
+
+    fun openSince(zone: String?): Micros? {
+        val witnesses = witnesses(zone)
+        if (witnesses.isEmpty()) return 0
+        return witnesses.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
+    }
+
+    /** Peers whose hints show that [zone] can be reached: for our own zone all of them, since we may be cut off ourselves. */
+    private fun witnesses(zone: String?): List<Peer> {
+        val inZone = context.settings.peers.filter { it.zone == zone }
+        return if (zone == context.settings.zone || inZone.isEmpty()) context.settings.peers else inZone
+    }
+
+    fun heardElsewhere(
+        machine: MachineId,
+        to: NodeId?,
+        within: Micros,
+    ): Boolean =
+        received.any { (node, peer) ->
+            val reportedUs = peer.machines[machine.text]?.reportedUs
+            (to == null || to == node) && reportedUs != null && context.now - reportedUs < within
+        }
+
+    /** Whether the state service serves some peer, as its hint from after [since] says. */
+    fun isAnyServed(since: Micros): Boolean =
+        received.values.any { it.isRecent() && it.hint.stateAgeUs in 0..MAX_SERVED_AGE && it.atUs > since }
+
+    companion object {
+        /** For how long a hint counts; a peer sends one each second, and some may be lost. */
+        const val HINT_VALIDITY: Micros = 3 * SECOND
+
+        /** How long ago the state service served a peer at most for it to be served now. */
+        private const val MAX_SERVED_AGE: Micros = 1_500_000
+    }
+}
--- a/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
@@ -9,26 +9,33 @@
 import mintpick.net.Outcome
 import java.util.random.RandomGenerator
 
-/** What all parts of the engine share: settings, the clock of the current step, and the way to the outside. */
+/**
+ * What all parts of the engine share: settings, the clock of the current step, the local cache of the records, and the
+ * way to the outside. Event-loop thread only.
+ */
 class EngineContext(
     val settings: Settings,
     val random: RandomGenerator,
 ) {
+    /** This controller. */
     val me = NodeId(settings.node)
+
+    /** The copy of the state service's records; another object after each [resetCache]. */
     var cache = LocalCache()
         private set
 
-    /** Steady time of the current step. */
+    /** Steady time of the current step, in microseconds. */
     var now: Micros = 0
         private set
 
-    /** Time of day of the current step. */
+    /** Time of day of the current step, in microseconds since the epoch. */
     var wall: Micros = 0
         private set
     private val effects = ArrayList<Effect>()
-    private val waiting = HashMap<Long, (Outcome) -> Unit>()
+    private val callbacks = HashMap<Long, (Outcome) -> Unit>()
     private var lastCall = 0L
 
+    /** Begins a step at steady time [now] and time of day [wall], both in microseconds. */
     fun begin(
         now: Micros,
         wall: Micros,
@@ -37,8 +44,14 @@
         this.wall = wall
     }
 
-    fun takeEffects(): List<Effect> = effects.toList().also { effects.clear() }
+    /** The effects since the last call of this function, in the order in which they were asked for. */
+    fun takeEffects(): List<Effect> {
+        val taken = effects.toList()
+        effects.clear()
+        return taken
+    }
 
+    /** Answers a request at the end of this step. */
     fun send(
         reply: ReplyTo,
         answer: Answer,
@@ -46,62 +59,26 @@
         effects += Effect.Send(reply, answer)
     }
 
-    /** Starts a call; [then] runs in a later step on the owner's thread. */
+    /** Starts [call] at the end of this step; [then] gets its outcome in a later one. */
     fun call(
         call: Call,
         then: (Outcome) -> Unit,
     ) {
         val id = ++lastCall
-        waiting[id] = then
+        callbacks[id] = then
         effects += Effect.Start(id, call)
     }
 
+    /** Hands the outcome of call [id] to who started it; an unknown id, or one that has ended already, is ignored. */
     fun callDone(
         id: Long,
         outcome: Outcome,
     ) {
-        waiting.remove(id)?.invoke(outcome)
+        callbacks.remove(id)?.invoke(outcome)
     }
 
-    /** Starts the copy of the records anew: changes were missed that the state service no longer has. */
+    /** Empties the cache by replacing it: changes were missed that the state service's log no longer has. */
     fun resetCache() {
         cache = LocalCache()
     }
 }
-
-/** A token bucket over the engine's clock. */
-class TokenBucket(
-    private val perSecond: Double,
-    private val burst: Double,
-) {
-    private var level = burst
-    private var at: Micros = 0
-
-    fun available(now: Micros): Double {
-        level = minOf(burst, level + (now - at) * perSecond / US)
-        at = now
-        return level
-    }
-
-    fun take(
-        now: Micros,
-        amount: Double,
-    ): Boolean {
-        if (available(now) < amount) return false
-        level -= amount
-        return true
-    }
-
-    /** Takes even what is not there; later takers wait for it. */
-    fun force(
-        now: Micros,
-        amount: Double,
-    ) {
-        available(now)
-        level -= amount
-    }
-
-    companion object {
-        private const val US = 1e6
-    }
-}
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -186,8 +186,8 @@
         LOG.info("preempt for={} machine={} victims={} reason=guarantee-or-priority", job.id.text, machine.text, tasks)
         for (victim in plan.victims) {
             LOG.debug("preempt victim={} for={} reason={}", victim.attempt.task, job.id.text, victim.reason.text)
-            commandPlanner.stopping[victim.attempt] = "preempted"
         }
+        commandPlanner.preempt(plan.victims.map { it.attempt })
         agents.push(machine)
     }
 
--- a/src/main/kotlin/mintpick/engine/state/FormatGate.kt
+++ b/src/main/kotlin/mintpick/engine/state/FormatGate.kt
@@ -11,54 +11,58 @@
 /**
  * Decides in which format records are written while versions of the service are mixed. Each controller announces the
  * newest format that it reads in a record that outlives it; a format is written once every controller of the settings,
- * present or not, has announced it. One that has not announced anything reads only the oldest.
+ * present or not, has announced it. One that has not announced anything reads only the oldest. Event-loop thread only.
  */
 class FormatGate(
     private val context: EngineContext,
 ) {
-    private val everybody = (context.settings.peers.map { it.node } + context.settings.node).map(::NodeId)
-    private var reported: RecordFormat? = null
+    private val controllers = (context.settings.peers.map { it.node } + context.settings.node).map(::NodeId)
+    private var logged: RecordFormat? = null
 
     /** The newest format that every controller reads. */
     val current: RecordFormat
         get() {
-            val formats = context.cache.formats
-            return RecordFormat.readableAt(everybody.minOf { formats[it] ?: 0 })
+            val announced = context.cache.formats
+            return RecordFormat.readableAt(controllers.minOf { announced[it] ?: NOT_ANNOUNCED })
         }
 
-    /** Whether jobs that wait for others may be accepted: an older version would start them at once. */
+    /** Whether jobs with DAG dependencies may be accepted: an older version would start them at once. */
     val allowsDependencies: Boolean get() = current >= RecordFormat.COMPACT
 
     /** Most bytes of one value: the oldest format is needed only while the limits of before the upgrade are in force. */
     val valueBytes: Double
         get() {
             val settings = context.settings
-            return (if (current == RecordFormat.VERBOSE) settings.valueKbAtStart else settings.limits.valueKb) * KB
+            val kilobytes = if (current == RecordFormat.VERBOSE) settings.valueKbAtStart else settings.limits.valueKb
+            return kilobytes * BYTES_PER_KB
         }
 
-    /** Levels by controller, for the status page. */
-    fun levels(): Map<String, Int> = everybody.associate { it.text to (context.cache.formats[it] ?: RecordFormat.VERBOSE.level) }
+    /** Announced levels by controller, for the status page. */
+    fun levels(): Map<String, Int> = controllers.associate { it.text to (context.cache.formats[it] ?: RecordFormat.VERBOSE.level) }
 
     /** What this controller has to write to announce what it reads; null if it has. */
     fun announcement(): Write? {
-        val mine = context.cache.formats[context.me] ?: 0
-        if (mine >= RecordFormat.NEWEST.level) return null
+        val announced = context.cache.formats[context.me] ?: NOT_ANNOUNCED
+        if (announced >= RecordFormat.NEWEST.level) return null
         val record = FormatRecord(RecordFormat.NEWEST.level)
         return Write(Keys.format(context.me.text), WireJson.encodeToJsonElement(FormatRecord.serializer(), record))
     }
 
     /** Logs each change of the format once. */
     fun tick() {
-        val now = current
-        if (now == reported) return
-        reported = now
-        LOG.info("record format={} levels={}", now, levels())
+        val format = current
+        if (format == logged) return
+        logged = format
+        LOG.info("record format={} levels={}", format, levels())
     }
 
-    companion object {
-        private val LOG = LoggerFactory.getLogger(FormatGate::class.java)
+    private companion object {
+        val LOG = LoggerFactory.getLogger(FormatGate::class.java)
+
+        /** The level of a controller that has announced nothing: below all formats. */
+        const val NOT_ANNOUNCED = 0
 
         /** Fewer than 1024, for what surrounds a value in a request. */
-        private const val KB = 1000
+        const val BYTES_PER_KB = 1000
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
@@ -9,17 +9,18 @@
 import mintpick.wire.Retiring
 
 /**
- * The machines of one part as records that each fit into a value of the state service. A new machine goes into the first
- * piece that has room, so that every machine of a full one can still be marked; with no such piece a new one begins. A
- * piece that has outgrown a value, as after the limits have been lowered, is split in the transaction that changes it;
- * otherwise machines do not move between pieces, so that what is read piece by piece is never a machine short.
+ * The machines of one shard as records that each fit into a value of [maxBytes]. A new machine goes into the first piece
+ * that has room, so that every machine of a full one can still be marked; with no such piece a new one begins. A piece that
+ * has outgrown a value, as after the limits have been lowered, is split in the transaction that changes it; otherwise
+ * machines do not move between pieces, so that a reader that gets them piece by piece never misses a machine. [stored] are
+ * the machines by piece as they are now; records are written in [format]. Event-loop thread only.
  */
 class MachineListLayout(
-    before: Map<Int, Map<MachineId, MachineRecord>>,
+    stored: Map<Int, Map<MachineId, MachineRecord>>,
     private val maxBytes: Double,
     private val format: RecordFormat,
 ) {
-    /** A piece that is to be written: what it holds, what has left it, and its record. */
+    /** A piece that is to be written: the machines that it holds, those that have left it, and its record. */
     class Changed(
         val machines: Map<MachineId, MachineRecord>,
         val removed: Set<MachineId>,
@@ -32,36 +33,50 @@
         val removed = HashSet<MachineId>()
         var isChanged = false
 
-        /** Worked out once and then kept up to date: adding many machines must not encode the piece for each. */
+        /** Encoded once and then kept up to date: adding many machines must not encode the piece for each. */
         var bytes = sizeOf(machines)
     }
 
     private val isCompact = format >= RecordFormat.COMPACT
-    private val fillTo = maxBytes * if (isCompact) COMPACT_FILL else VERBOSE_FILL
-    private val pieces = before.mapValuesTo(sortedMapOf()) { (_, machines) -> Piece(HashMap(machines)) }
-    private val pieceOf = HashMap<MachineId, Piece>().apply { pieces.values.forEach { p -> p.machines.keys.forEach { put(it, p) } } }
+    private val fillBytes = maxBytes * if (isCompact) COMPACT_FILL_RATIO else VERBOSE_FILL_RATIO
+    private val pieces = stored.mapValuesTo(sortedMapOf()) { (_, machines) -> Piece(HashMap(machines)) }
+    private val pieceOf = indexByMachine()
 
     /** Numbers of all pieces, and of the one that would come next. */
-    val numbers: Set<Int> get() = pieces.keys + nextNumber()
+    val numbers: Set<Int> get() = pieces.keys + unusedNumbers().first()
 
-    private fun nextNumber(): Int = generateSequence(0) { it + 1 }.first { it !in pieces }
+    private fun indexByMachine(): HashMap<MachineId, Piece> {
+        val index = HashMap<MachineId, Piece>()
+        for (piece in pieces.values) {
+            piece.machines.keys.forEach { index[it] = piece }
+        }
+        return index
+    }
+
+    private fun unusedNumbers(): Sequence<Int> = generateSequence(0) { it + 1 }.filter { it !in pieces }
 
     private fun sizeOf(machines: Map<MachineId, MachineRecord>): Int = RecordCodec.machineListJson(machines, format).toString().length
 
+    /** Adds a machine, or replaces its record where it stands. */
     fun add(
         id: MachineId,
         record: MachineRecord,
     ) {
-        val known = pieceOf[id]
-        val size = bytesOf(id, record)
-        val piece = known ?: pieces.values.firstOrNull { it.bytes + size < fillTo } ?: newPiece()
-        if (piece.machines.put(id, record) == null) piece.bytes += size
+        val entryBytes = entryBytes(id, record)
+        val piece = pieceOf[id] ?: pieces.values.firstOrNull { it.bytes + entryBytes < fillBytes } ?: newPiece()
+        val replaced = piece.machines.put(id, record)
+        if (replaced == null) piece.bytes += entryBytes
         pieceOf[id] = piece
         piece.isChanged = true
     }
 
-    private fun newPiece(): Piece = Piece(HashMap()).also { pieces[nextNumber()] = it }
+    private fun newPiece(): Piece {
+        val piece = Piece(HashMap())
+        pieces[unusedNumbers().first()] = piece
+        return piece
+    }
 
+    /** Removes a machine; one that is not listed is ignored. */
     fun remove(id: MachineId) {
         val piece = pieceOf.remove(id) ?: return
         piece.machines -= id
@@ -69,42 +84,45 @@
         piece.isChanged = true
     }
 
-    /** Whether the mark found room; one that does not waits until others of its piece are gone. */
+    /** Marks a machine as [retiring]; false if the mark has no room, and waits until others of its piece are gone. */
     fun mark(
         id: MachineId,
-        how: Retiring,
+        retiring: Retiring,
     ): Boolean {
         val piece = pieceOf[id] ?: return false
         val record = piece.machines[id] ?: return false
-        val size = if (record.retiring == Retiring.NO && !isCompact) id.text.length + MARK_BYTES else 0
-        if (!isCompact && piece.bytes + size > maxBytes - SPARE_BYTES) return false
-        piece.machines[id] = record.copy(retiring = how)
-        piece.bytes += size
+        val markBytes = if (record.retiring == Retiring.NO && !isCompact) id.text.length + MARK_BYTES else 0
+        if (!isCompact && piece.bytes + markBytes > maxBytes - SPARE_BYTES) return false
+        piece.machines[id] = record.copy(retiring = retiring)
+        piece.bytes += markBytes
         piece.isChanged = true
         return true
     }
 
-    /** Pieces to be written, as many as fit into one transaction of [maxOps] writes and [maxTotal] bytes. */
+    /** Pieces to be written by number, as many as fit into one transaction of [maxOps] writes and [maxTotal] bytes, but at least one. */
     fun changed(
         maxOps: Int,
         maxTotal: Int,
     ): Map<Int, Changed> {
         val found = LinkedHashMap<Int, Changed>()
         var bytes = 0
-        for ((number, piece) in pieces.entries.map { it.key to it.value }) {
+        // Splitting adds pieces meanwhile.
+        for (number in pieces.keys.toList()) {
+            val piece = pieces.getValue(number)
             if (!piece.isChanged) continue
             val parts = split(number, piece)
             bytes += parts.values.sumOf { it.bytes }
-            if (found.isNotEmpty() && (found.size + parts.size > maxOps || bytes > maxTotal)) break
+            val isTooMuch = found.size + parts.size > maxOps || bytes > maxTotal
+            if (found.isNotEmpty() && isTooMuch) break
             pieces += parts
-            for ((part, kept) in parts) {
-                found[part] = Changed(kept.machines, kept.removed, RecordCodec.machineListJson(kept.machines, format))
+            for ((partNumber, part) in parts) {
+                found[partNumber] = Changed(part.machines, part.removed, RecordCodec.machineListJson(part.machines, format))
             }
         }
         return found
     }
 
-    /** [piece] in halves until each fits into a value; what it loses goes to pieces that do not exist yet. */
+    /** [piece] in halves until each fits into a value; the first keeps its [number], the others get unused ones. */
     private fun split(
         number: Int,
         piece: Piece,
@@ -114,21 +132,20 @@
         while (open.isNotEmpty()) {
             val next = open.removeFirst()
             next.bytes = sizeOf(next.machines)
-            if (next.bytes <= maxBytes || next.machines.size < 2) {
-                fitting += next
-            } else {
-                val ordered = CompactNames.ordered(next.machines.keys.map { it.text }).map(::MachineId)
-                val (first, second) = ordered.chunked((ordered.size + 1) / 2)
-                open += Piece(HashMap(first.associateWith(next.machines::getValue)))
-                open += Piece(HashMap(second.associateWith(next.machines::getValue)))
-            }
+            if (next.bytes <= maxBytes || next.machines.size < 2) fitting += next else open += halves(next)
         }
         if (fitting.first() !== piece) fitting.first().removed += piece.removed
-        val free = generateSequence(0) { it + 1 }.filter { it !in pieces }.iterator()
-        return fitting.withIndex().associate { (i, part) -> (if (i == 0) number else free.next()) to part }
+        val unused = unusedNumbers().iterator()
+        return fitting.withIndex().associate { (index, part) -> (if (index == 0) number else unused.next()) to part }
+    }
+
+    private fun halves(piece: Piece): List<Piece> {
+        val ordered = CompactNames.ordered(piece.machines.keys.map { it.text }).map(::MachineId)
+        val size = (ordered.size + 1) / 2
+        return ordered.chunked(size).map { ids -> Piece(HashMap(ids.associateWith(piece.machines::getValue))) }
     }
 
-    private fun bytesOf(
+    private fun entryBytes(
         id: MachineId,
         record: MachineRecord,
     ): Int = if (isCompact) COMPACT_ENTRY_BYTES else id.text.length + record.address.length + ENTRY_BYTES
@@ -146,8 +163,8 @@
         /** The longest mark with quotes, colon and comma. */
         const val MARK_BYTES = 12
 
-        /** How full pieces are made: marks take room in the verbose format alone. */
-        const val VERBOSE_FILL = 0.5
-        const val COMPACT_FILL = 0.85
+        /** How full pieces are made, as a part of a value's size: marks take room in the verbose format alone. */
+        const val VERBOSE_FILL_RATIO = 0.5
+        const val COMPACT_FILL_RATIO = 0.85
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/state/StateServiceConnection.kt
@@ -0,0 +1,41 @@
+package mintpick.engine.state
+
+import mintpick.core.MILLI
+import mintpick.core.Micros
+import mintpick.engine.runtime.EngineContext
+import mintpick.net.Call
+import mintpick.net.Outcome
+import mintpick.store.StateProtocol
+import mintpick.store.StateResult
+
+/** The way to the state service: its protocol, this controller's request limits, and the statistics of both. Event-loop thread only. */
+class StateServiceConnection(
+    val context: EngineContext,
+) {
+    val protocol = StateProtocol(context.settings.state.toString())
+    val limits = RequestLimits(context)
+    val statistics = RequestStatistics(context)
+
+    /**
+     * Sends [call] whatever the request limit says, and counts it. [then] gets the answer as [read] decodes it, in a later
+     * step, after the statistics have recorded it.
+     */
+    fun <T> request(
+        call: Call,
+        read: (Outcome) -> StateResult<T>,
+        then: (StateResult<T>) -> Unit,
+    ) {
+        val sent = context.now
+        limits.chargeRequest()
+        context.call(call) { outcome ->
+            val result = read(outcome)
+            statistics.record(sent, result)
+            then(result)
+        }
+    }
+
+    companion object {
+        /** How long a request waits that failed and is to be sent again. */
+        const val RETRY_DELAY: Micros = 250 * MILLI
+    }
+}
--- a/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
@@ -2,7 +2,8 @@
 
 /**
  * Which record holds which part of a controller's use by team: each piece holds some time slots of some teams, as many as
- * fit into a value, and slots of a window share no piece with older ones. Only the pieces of the present slot change.
+ * fit into a value of [valueBytes], and slots of a window share no piece with older ones. Only the pieces of the present
+ * slot change. There are [teams] teams and [windowSlots] slots in the window that use is counted over.
  */
 class UsageLayout(
     private val teams: Int,
@@ -16,10 +17,26 @@
         val slots: LongRange,
     )
 
-    private val teamsPerPiece = minOf(maxOf(1, teams), maxOf(1, ((valueBytes - HEAD_BYTES - SLOT_BYTES) / SHARE_BYTES).toInt()))
-    private val slotsPerPiece = maxOf(1, ((valueBytes - HEAD_BYTES) / (SLOT_BYTES + teamsPerPiece * SHARE_BYTES)).toInt())
-    private val ranges = (teams + teamsPerPiece - 1) / teamsPerPiece
-    private val groups = (windowSlots + slotsPerPiece - 1) / slotsPerPiece + SPARE_GROUPS
+    private val teamsPerPiece = teamsThatFit(valueBytes)
+    private val slotsPerPiece = slotsThatFit(valueBytes)
+    private val ranges = ceilDiv(teams, teamsPerPiece)
+    private val groups = ceilDiv(windowSlots, slotsPerPiece) + SPARE_GROUPS
+
+    /** How many teams' shares of one slot fit into a value: at least one, at most all. */
+    private fun teamsThatFit(valueBytes: Double): Int {
+        val fitting = ((valueBytes - HEAD_BYTES - SLOT_BYTES) / SHARE_BYTES).toInt()
+        return minOf(maxOf(1, teams), maxOf(1, fitting))
+    }
+
+    private fun slotsThatFit(valueBytes: Double): Int {
+        val slotBytes = SLOT_BYTES + teamsPerPiece * SHARE_BYTES
+        return maxOf(1, ((valueBytes - HEAD_BYTES) / slotBytes).toInt())
+    }
+
+    private fun ceilDiv(
+        count: Int,
+        perPiece: Int,
+    ): Int = (count + perPiece - 1) / perPiece
 
     /** The pieces that [slot] is kept in, one for each range of teams. */
     fun piecesOf(slot: Long): List<Piece> {
--- a/src/test/kotlin/mintpick/core/BootTimesTest.kt
+++ b/src/test/kotlin/mintpick/core/BootTimesTest.kt
@@ -11,31 +11,31 @@
     @Test
     fun `single machines that are late change nothing`() {
         val times = BootTimes()
-        val before = times.lateAfter(kind) to times.lostAfter(kind)
-        repeat(4) { times.booted(kind, 1.1) }
-        repeat(3) { times.missing(kind) }
-        assertFalse(times.isTroubled(kind))
-        assertEquals(before.first, times.lateAfter(kind), 0.2)
-        assertEquals(before.second, times.lostAfter(kind), 0.4)
+        val before = times.replaceAfterMultiple(kind) to times.releaseAfterMultiple(kind)
+        repeat(4) { times.recordBoot(kind, 1.1) }
+        repeat(3) { times.recordOverdue(kind) }
+        assertFalse(times.isSlow(kind))
+        assertEquals(before.first, times.replaceAfterMultiple(kind), 0.2)
+        assertEquals(before.second, times.releaseAfterMultiple(kind), 0.4)
     }
 
     @Test
     fun `a kind that boots late is waited for longer, up to a bound, and others are not`() {
         val times = BootTimes()
-        val usual = times.lateAfter(kind)
-        repeat(40) { times.missing(kind) }
-        assertTrue(times.isTroubled(kind))
-        assertEquals(usual * 2, times.lateAfter(kind), 1e-9)
+        val usual = times.replaceAfterMultiple(kind)
+        repeat(40) { times.recordOverdue(kind) }
+        assertTrue(times.isSlow(kind))
+        assertEquals(usual * 2, times.replaceAfterMultiple(kind), 1e-9)
         val other = BootKind("small", "south")
-        assertFalse(times.isTroubled(other))
-        assertEquals(usual, times.lateAfter(other), 1e-9)
+        assertFalse(times.isSlow(other))
+        assertEquals(usual, times.replaceAfterMultiple(other), 1e-9)
     }
 
     @Test
     fun `a kind that boots in time again is trusted again`() {
         val times = BootTimes()
-        repeat(9) { times.missing(kind) }
-        repeat(5) { times.booted(kind, 0.9) }
-        assertFalse(times.isTroubled(kind))
+        repeat(9) { times.recordOverdue(kind) }
+        repeat(5) { times.recordBoot(kind, 0.9) }
+        assertFalse(times.isSlow(kind))
     }
 }
--- a/src/test/kotlin/mintpick/core/PlacerTest.kt
+++ b/src/test/kotlin/mintpick/core/PlacerTest.kt
@@ -63,27 +63,27 @@
                 mintpick.wire.MachineType("cheap", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north", "south")),
             ).associateBy { it.name }
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north", "south")) { true }
-        val spot = scaleOutPlanner.plan(emptyList(), listOf(ScaleOutPlanner.Want(Samples.spec(cpus = 4.0), 4)), 10)
+        val spot = scaleOutPlanner.plan(emptyList(), listOf(CapacityDemand(Samples.spec(cpus = 4.0), 4)), 10)
         assertEquals(
             setOf("cheap" to true),
-            spot.rent.keys
+            spot.newMachines.keys
                 .map { it.type to it.spot }
                 .toSet(),
         )
-        assertEquals(2, spot.rent.values.sum())
+        assertEquals(2, spot.newMachines.values.sum())
         val spread =
             scaleOutPlanner.plan(
                 emptyList(),
-                listOf(ScaleOutPlanner.Want(Samples.spec(cpus = 1.0, tasks = 2, spot = false, spread = true), 2)),
+                listOf(CapacityDemand(Samples.spec(cpus = 1.0, tasks = 2, spot = false, spread = true), 2)),
                 10,
             )
         assertEquals(
             setOf("north", "south"),
-            spread.rent.keys
+            spread.newMachines.keys
                 .map { it.zone }
                 .toSet(),
         )
-        assertTrue(spread.rent.keys.none { it.spot })
+        assertTrue(spread.newMachines.keys.none { it.spot })
     }
 
     @Test
@@ -95,13 +95,13 @@
         val total = Resources(8.0, 0.0, 32.0)
         val full = Room(MachineId("m"), "small", "north", false, Resources.ZERO, total, { false }, true, yielding = total)
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { true }
-        val service = ScaleOutPlanner.Want(Samples.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
-        assertEquals(emptyMap<Offer, Int>(), scaleOutPlanner.plan(listOf(full), listOf(service), 5).rent)
+        val service = CapacityDemand(Samples.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
+        assertEquals(emptyMap<Offer, Int>(), scaleOutPlanner.plan(listOf(full), listOf(service), 5).newMachines)
         assertEquals(
             1,
             scaleOutPlanner
-                .plan(listOf(full), listOf(ScaleOutPlanner.Want(Samples.spec(cpus = 1.0), 3)), 5)
-                .rent.values
+                .plan(listOf(full), listOf(CapacityDemand(Samples.spec(cpus = 1.0), 3)), 5)
+                .newMachines.values
                 .sum(),
         )
     }
@@ -121,9 +121,12 @@
         val spec = Samples.spec(cpus = 4.0)
         assertEquals(
             setOf(MachineId("spot-false")),
-            scaleOutPlanner.plan(rooms, listOf(ScaleOutPlanner.Want(spec, 4, ordinary = false, spare = true)), 5).unused,
+            scaleOutPlanner.plan(rooms, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false, keepsToSpot = true)), 5).unusedMachines,
+        )
+        assertEquals(
+            emptySet<MachineId>(),
+            scaleOutPlanner.plan(rooms, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false)), 5).unusedMachines,
         )
-        assertEquals(emptySet<MachineId>(), scaleOutPlanner.plan(rooms, listOf(ScaleOutPlanner.Want(spec, 4, ordinary = false)), 5).unused)
     }
 
     /** Fuller machines of the zone that already holds its share once hid the other zone from a job that spreads. */
--- /dev/null
+++ b/src/test/kotlin/mintpick/engine/capacity/ClassDemandTest.kt
@@ -0,0 +1,37 @@
+package mintpick.engine.capacity
+
+import mintpick.Samples
+import mintpick.core.SECOND
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+class ClassDemandTest {
+    private val demand = ClassDemand(Samples.spec(tasks = 2))
+
+    @Test
+    fun `the peak is forgotten once it is older than the memory, the current demand is the latest sample`() {
+        assertEquals(0, demand.currentTasks)
+        assertEquals(0, demand.peakTasks)
+        demand.addSample(DemandSample(0, 9), MEMORY)
+        demand.addSample(DemandSample(MEMORY, 4), MEMORY)
+        assertEquals(4, demand.currentTasks)
+        assertEquals(9, demand.peakTasks)
+        demand.addSample(DemandSample(MEMORY + 1, 3), MEMORY)
+        assertEquals(3, demand.currentTasks)
+        assertEquals(4, demand.peakTasks)
+    }
+
+    @Test
+    fun `the largest job counts up to a bound and the latest job describes the class`() {
+        demand.observeJob(Samples.spec(tasks = 7, cpus = 1.0))
+        assertEquals(7, demand.largestJobTasks)
+        demand.observeJob(Samples.spec(tasks = 100, cpus = 2.0))
+        demand.observeJob(Samples.spec(tasks = 3, cpus = 4.0))
+        assertEquals(16, demand.largestJobTasks)
+        assertEquals(4.0, demand.spec.cpus)
+    }
+
+    private companion object {
+        const val MEMORY = 60 * SECOND
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/mintpick/engine/capacity/DemandMergingTest.kt
@@ -0,0 +1,38 @@
+package mintpick.engine.capacity
+
+import mintpick.Samples
+import mintpick.core.CapacityDemand
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+class DemandMergingTest {
+    private fun demand(
+        id: String,
+        count: Int,
+        cpus: Double = 1.0,
+        oneZone: Boolean = false,
+        perZone: Map<String, Int> = emptyMap(),
+        keepsToSpot: Boolean = false,
+    ) = CapacityDemand(Samples.spec(tasks = count, cpus = cpus, oneZone = oneZone).copy(id = id), count, perZone, keepsToSpot = keepsToSpot)
+
+    private fun merged(vararg demands: CapacityDemand): List<String> =
+        mergeDemands(demands.toList()).map { "${it.spec.id}:${it.spec.tasks}:${it.count}" }
+
+    @Test
+    fun `jobs that need the same become one demand at the place of the first`() {
+        assertEquals(listOf("a:5:5", "b:1:1"), merged(demand("a", 2), demand("b", 1, cpus = 2.0), demand("c", 3)))
+    }
+
+    @Test
+    fun `jobs whose tasks depend on each other's zones stay single`() {
+        val oneZone = listOf(demand("a", 2, oneZone = true), demand("b", 2, oneZone = true))
+        assertEquals(listOf("a:2:2", "b:2:2"), merged(*oneZone.toTypedArray()))
+        val running = listOf(demand("a", 2, perZone = mapOf("north" to 1)), demand("b", 2, perZone = mapOf("north" to 1)))
+        assertEquals(listOf("a:2:2", "b:2:2"), merged(*running.toTypedArray()))
+    }
+
+    @Test
+    fun `jobs that may use different machines are not merged`() {
+        assertEquals(listOf("a:2:2", "b:2:2"), merged(demand("a", 2), demand("b", 2, keepsToSpot = true)))
+    }
+}
