--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -8,6 +8,7 @@
 import mintpick.engine.agents.CommandPlanner
 import mintpick.engine.agents.MachineRegistry
 import mintpick.engine.agents.Reconciler
+import mintpick.engine.capacity.BorrowedMachines
 import mintpick.engine.capacity.CapacityPlanner
 import mintpick.engine.capacity.CapacityView
 import mintpick.engine.capacity.CloudClient
@@ -16,10 +17,12 @@
 import mintpick.engine.capacity.IdleMachines
 import mintpick.engine.capacity.LeaderStatus
 import mintpick.engine.capacity.MachineMonitor
-import mintpick.engine.jobs.JobAnswers
 import mintpick.engine.capacity.MachineTypeCatalog
+import mintpick.engine.capacity.NoticedMachines
 import mintpick.engine.capacity.ScaleIn
 import mintpick.engine.capacity.ScaleOut
+import mintpick.engine.capacity.UnresponsiveMachines
+import mintpick.engine.jobs.JobAnswers
 import mintpick.engine.jobs.JobUpdates
 import mintpick.engine.jobs.JobUrgency
 import mintpick.engine.jobs.PendingRequests
@@ -99,7 +102,13 @@
     private val userRequests = UserRequests(context, stateStore, pendingRequests, submissionValidator, jobAnswers)
     private val jobUpdates = JobUpdates(context, stateStore, pendingRequests, commandPlanner, formats, transactionLimits)
     private val machineMonitor =
-        MachineMonitor(context, stateStore, shardClaims, agents, health, machineRegistry, commandPlanner, scheduler)
+        MachineMonitor(
+            context,
+            health,
+            UnresponsiveMachines(context, stateStore, shardClaims, agents, health, machineRegistry),
+            NoticedMachines(context, shardClaims, agents, machineRegistry, commandPlanner),
+            BorrowedMachines(context, stateStore, shardClaims, scheduler),
+        )
     private val sweeper = RecordSweeper(context, stateStore, shardClaims, pendingRequests)
     private val updateCycle = JobUpdateCycle(context, stateStore, shardClaims, reconciler, scheduler, pendingRequests, jobUpdates)
     private val machineHints = MachineHints(context, shardClaims, agents, reconciler, commandPlanner)
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
@@ -0,0 +1,40 @@
+package mintpick.engine.capacity
+
+import mintpick.core.MachineId
+import mintpick.core.Micros
+import mintpick.core.SECOND
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.engine.scheduling.Scheduler
+import mintpick.engine.state.StateStoreClient
+
+/** Returns machines that this controller has borrowed from others' shards. Event-loop thread only. */
+class BorrowedMachines(
+    private val context: EngineContext,
+    private val stateStore: StateStoreClient,
+    private val shardClaims: ShardClaims,
+    private val scheduler: Scheduler,
+) {
+    private val borrowedSinceUs = HashMap<MachineId, Micros>()
+
+    private val cache get() = context.cache
+
+    /** Returns borrowed machines without tasks once no job is unschedulable and [MIN_BORROW_TIME] is over. */
+    fun returnUnused() {
+        borrowedSinceUs.keys.retainAll(cache.borrows.keys)
+        for ((machine, claim) in cache.borrows.toMap()) {
+            if (!shardClaims.isMine(claim)) continue
+            val sinceUs = borrowedSinceUs.getOrPut(machine) { context.now }
+            val isWanted = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
+            val isDue = !isWanted && context.now - sinceUs > MIN_BORROW_TIME
+            if (isDue && stateStore.writesAllowed() > RESERVED_WRITES) shardClaims.giveBack(machine)
+        }
+    }
+
+    private companion object {
+        const val MIN_BORROW_TIME: Micros = 20 * SECOND
+
+        /** Writes that are left to what is more urgent. */
+        const val RESERVED_WRITES = 2
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/mintpick/engine/capacity/NoticedMachines.kt
@@ -0,0 +1,49 @@
+package mintpick.engine.capacity
+
+import mintpick.core.AttemptId
+import mintpick.core.MachineView
+import mintpick.engine.agents.AgentRegistry
+import mintpick.engine.agents.CommandPlanner
+import mintpick.engine.agents.MachineRegistry
+import mintpick.engine.membership.ShardClaims
+import mintpick.engine.runtime.EngineContext
+import mintpick.wire.Retiring
+import mintpick.wire.TaskReport
+import mintpick.wire.TaskState
+
+/** Drains machines that the cloud has given a notice of their termination. Event-loop thread only. */
+class NoticedMachines(
+    private val context: EngineContext,
+    private val shardClaims: ShardClaims,
+    private val agents: AgentRegistry,
+    private val machineRegistry: MachineRegistry,
+    private val commandPlanner: CommandPlanner,
+) {
+    private val cache get() = context.cache
+
+    /** Marks machines with a notice as draining and sends them their stops at once: their next reports are not waited for. */
+    fun drain() {
+        for (view in agents.views()) {
+            if (!isNoticed(view)) continue
+            val retiring = cache.machines[view.id]?.record?.retiring
+            if (retiring == Retiring.NO) machineRegistry.retire(view.id, Retiring.DRAIN, "notice")
+            if (hasTasksToStop(view)) agents.push(view.id)
+        }
+    }
+
+    private fun isNoticed(view: MachineView): Boolean =
+        view.noticeEndsUs != null &&
+            shardClaims.controls(view.id) &&
+            commandPlanner.isNoticed(view, shardClaims.control(view.id))
+
+    private fun hasTasksToStop(view: MachineView): Boolean = view.reported.any { (attempt, task) -> isToStop(view, attempt, task) }
+
+    private fun isToStop(
+        view: MachineView,
+        attempt: AttemptId,
+        task: TaskReport,
+    ): Boolean {
+        val isStopped = task.state == TaskState.EXITED || task.state == TaskState.SAVING
+        return !isStopped && cache.tasksOn(view.id)[attempt.task] == attempt.attempt
+    }
+}
--- a/src/main/kotlin/mintpick/engine/runtime/Events.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/Events.kt
@@ -47,7 +47,7 @@
         val reply: ReplyTo,
     ) : Event
 
-    /** Another controller says how it stands; the answer says how this one does. */
+    /** Another controller sends its status; the answer is the status of this one. */
     class Hint(
         val hint: PeerHint,
         val reply: ReplyTo,
--- a/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
@@ -46,12 +46,12 @@
         rooms: PassRooms,
     ): Boolean {
         if (!isLarge(job, unchangedUs)) return false
-        // Our machines may hold a gang, were they empty, and never be empty at the same time.
-        val waitsInVain = job.spec.isGang && unchangedUs >= LARGE_AFTER
-        return waitsInVain || !rooms.own.couldHold(job.spec, job.waiting)
+        // This controller's machines may hold a gang, were they empty, and never be empty at the same time.
+        val isUnschedulable = job.spec.isGang && unchangedUs >= LARGE_AFTER
+        return isUnschedulable || !rooms.own.couldHold(job.spec, job.waiting)
     }
 
-    /** Placed whole or not at all, or in vain for a while. */
+    /** Placed whole or not at all, or unschedulable for a while. */
     private fun isLarge(
         job: Job,
         unchangedUs: Micros,
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -176,7 +176,7 @@
         return job.placed > 0 || context.wall - jobUrgency.readySinceUs(job) < SPOT_ONLY_FOR
     }
 
-    /** Borrows the machines that [pass] has found room on, if any; they are pushed their token once they are ours. */
+    /** Borrows the machines that [pass] has found room on, if any, and pushes them their token once they are borrowed. */
     fun borrowFor(pass: PlacementPass) {
         if (pass.toBorrow.isNotEmpty()) shardClaims.borrow(pass.toBorrow, agents::push)
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/PassPacing.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PassPacing.kt
@@ -36,7 +36,7 @@
                 queuedJobs > SHORT_QUEUE_JOBS -> PASS_INTERVAL
                 else -> PASS_INTERVAL / 3
             }
-        // A pass examines each of our machines: with hundreds of them it is their number that costs.
+        // A pass examines each of this controller's machines: with hundreds of them it is their number that costs.
         return interval + interval * ownMachines / MACHINES_PER_EXTRA_INTERVAL
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
@@ -20,7 +20,7 @@
     companion object {
         /**
          * First the job to be served first. Funded before unallocated work and then by fair share, as in "Ai2 replaces GPU
-         * priority scheduling with time budgets and fair share". Exception of ours: services that users see wait for nobody
+         * priority scheduling with time budgets and fair share". The project's own exception: services that users see wait for nobody
          * (docs/design.md).
          */
         val SERVED_FIRST: Comparator<QueuePosition> =
--- a/src/main/kotlin/mintpick/engine/scheduling/UnchangedJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UnchangedJobs.kt
@@ -5,7 +5,7 @@
 import mintpick.core.Micros
 import mintpick.engine.runtime.EngineContext
 
-/** For how long this controller has seen the records of waiting jobs unchanged. */
+/** For how long this controller has seen the records of waiting jobs unchanged. Event-loop thread only. */
 internal class UnchangedJobs(
     private val context: EngineContext,
 ) {
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -92,7 +92,7 @@
         return total
     }
 
-    /** Share-seconds that [team] has used in the window: ours as of now, the other controllers' as of their last summaries. */
+    /** Share-seconds that [team] has used in the window: here as of now, on other controllers as of their last summaries. */
     fun use(team: String): Double {
         refresh()
         return useByTeam[team] ?: 0.0
--- a/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
+++ b/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
@@ -63,7 +63,7 @@
     /** Renews the lease when it is due, or repairs this controller's record. */
     fun renew() {
         val lease = session.lease ?: return
-        // A late write of an earlier registration may have hung the record on a lease that is over.
+        // A late write of an earlier registration may have attached the record to a lease that has expired.
         if (context.cache.nodes[context.me]?.lease != lease && session.maySetUp) {
             session.delaySetup(REPAIR_INTERVAL)
             register(lease)
@@ -96,7 +96,7 @@
         const val LEASE_TTL: Micros = 5 * SECOND
         private const val RENEWAL_INTERVAL: Micros = SECOND
 
-        /** Between two attempts to write a record of this controller that hangs on another lease. */
+        /** Between two attempts to write the record of this controller while it is attached to another lease. */
         private const val REPAIR_INTERVAL: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
@@ -57,7 +57,7 @@
 
     private fun sizeOf(machines: Map<MachineId, MachineRecord>): Int = RecordCodec.machineListJson(machines, format).toString().length
 
-    /** Adds a machine, or replaces its record where it stands. */
+    /** Adds a machine, or replaces its record in the piece that has it. */
     fun add(
         id: MachineId,
         record: MachineRecord,
--- a/src/main/kotlin/mintpick/engine/state/RequestStatistics.kt
+++ b/src/main/kotlin/mintpick/engine/state/RequestStatistics.kt
@@ -22,7 +22,7 @@
     /** Latency of answered requests other than watches, in microseconds. */
     private val latency = Histogram(MAX_LATENCY, LATENCY_DIGITS)
 
-    /** False from the first failure on, after a short grace period, until a request is served again. */
+    /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
     val reachable: Boolean get() = (lastServedUs ?: -1) >= lastFailedUs || context.now - (lastServedUs ?: 0) < FAILURE_GRACE
 
     /** Latency in milliseconds by percentile, for the status page. */
--- a/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
@@ -25,7 +25,7 @@
     /** How far this controller is with the state service. */
     val phase: SessionPhase get() = session.phase
 
-    /** The lease that this controller's record and claims hang on; null while it has none. */
+    /** The lease that this controller's record and claims are attached to; null while it has none. */
     val lease: Long? get() = session.lease
 
     /** Whether this controller is registered and its cache is loaded. */
@@ -40,12 +40,12 @@
     /** When the newest request was sent that the state service has served; null before the first one. */
     val lastServedUs: Micros? get() = statistics.lastServedUs
 
-    /** False from the first failure on, after a short grace period, until a request is served again. */
+    /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
     val reachable: Boolean get() = statistics.reachable
 
     /**
      * Everything that was committed before this time is in the local cache; null before the first answered watch or
-     * catch-up. Unlike [lastServedUs] it does not move with lease renewals, which tell nothing of the records.
+     * catch-up. Unlike [lastServedUs] it does not move with lease renewals, which say nothing of the records.
      */
     val recordsKnownUs: Micros? get() = watchReader.recordsKnownUs
 
--- a/src/main/kotlin/mintpick/engine/state/StoreSession.kt
+++ b/src/main/kotlin/mintpick/engine/state/StoreSession.kt
@@ -17,7 +17,7 @@
     var phase = SessionPhase.LOADING
         private set
 
-    /** The lease that this controller's record and claims hang on; null while it has none. */
+    /** The lease that this controller's record and claims are attached to; null while it has none. */
     var lease: Long? = null
         private set
 
@@ -65,7 +65,7 @@
         this.lease = lease
     }
 
-    /** The record of this controller hangs on its lease. A load that began meanwhile serves at its own end. */
+    /** The record of this controller is attached to its lease. A load that began meanwhile serves at its own end. */
     fun registered() {
         if (phase != SessionPhase.JOINING) return
         servingSinceUs = context.now
@@ -77,7 +77,7 @@
         if (phase == SessionPhase.JOINING) lease = null
     }
 
-    /** The lease is over or has to be taken as over, for [reason]. */
+    /** The lease has expired, or may have, for [reason]. */
     fun leaseLost(reason: String) {
         if (lease == null) return
         LOG.warn("lease lost lease={} reason={}", lease, reason)
--- a/src/main/kotlin/mintpick/engine/state/WatchReader.kt
+++ b/src/main/kotlin/mintpick/engine/state/WatchReader.kt
@@ -29,7 +29,7 @@
 
     /**
      * Everything that was committed before this time is in the cache: when the newest answered catch-up or watch was sent.
-     * Null before the first one, and after the cache was reset. Lease renewals do not move it: they tell nothing of the
+     * Null before the first one, and after the cache was reset. Lease renewals do not move it: they say nothing of the
      * records.
      */
     var recordsKnownUs: Micros? = null
@@ -146,7 +146,7 @@
     private companion object {
         val LOG = LoggerFactory.getLogger(WatchReader::class.java)
 
-        /** How long the service holds a watch open that has nothing to tell. */
+        /** How long the service holds a watch open while nothing changes. */
         const val WATCH_TIMEOUT: Micros = 10 * SECOND
 
         /** From the answer of a watch to the next one. */
@@ -155,7 +155,7 @@
         /** From one catch-up to the next one, at least. */
         const val CATCH_UP_INTERVAL: Micros = 150 * MILLI
 
-        /** How often it is looked after that the records are recent. */
+        /** How often a catch-up is added if the records are not recent. */
         const val REFRESH_INTERVAL: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/Write.kt
+++ b/src/main/kotlin/mintpick/engine/state/Write.kt
@@ -4,7 +4,7 @@
 
 /**
  * One planned write of a transaction: [value] is stored under [key], or the key is deleted if it is null. A [leased]
- * value hangs on this controller's lease and goes with it.
+ * value is attached to this controller's lease and deleted with it.
  */
 data class Write(
     val key: String,
--- /dev/null
+++ b/src/test/kotlin/mintpick/differential/ComparedController.kt
@@ -0,0 +1,84 @@
+package mintpick.differential
+
+import mintpick.core.Micros
+import mintpick.engine.runtime.Effect
+import mintpick.engine.runtime.Event
+import mintpick.engine.runtime.ReplyTo
+import mintpick.sim.World
+import java.util.SplittableRandom
+
+/**
+ * Steps two engines with the same events and compares their effects; the world sees only what [present] does. From the first
+ * difference of its life on, [base] stands still: it would get answers to calls that it never made.
+ */
+internal class ComparedController(
+    private val base: World.Controller,
+    private val present: World.Controller,
+    private val comparison: Comparison,
+    private val name: String,
+) : World.Controller {
+    private class Logged(
+        val step: Long,
+        val now: Micros,
+        val event: Event?,
+    ) {
+        fun shown() = "step $step at $now us: ${event?.shown() ?: "no events"}"
+    }
+
+    private val log = ArrayDeque<Logged>()
+    private val order = SplittableRandom(name.hashCode().toLong())
+    private var step = 0L
+    private var differs = false
+
+    override fun step(
+        now: Micros,
+        wall: Micros,
+        events: List<Event>,
+    ): List<Effect> {
+        step++
+        if (differs) return present.step(now, wall, events)
+        val all = if (step % INSPECT_EVERY == 0L) events + Event.Inspect(ReplyTo { }) else events
+        note(now, all)
+        return compared(now, wall, all)
+    }
+
+    private fun note(
+        now: Micros,
+        events: List<Event>,
+    ) {
+        if (events.isEmpty()) log += Logged(step, now, null) else events.forEach { log += Logged(step, now, it) }
+        while (log.size > MOST_LOGGED) log.removeFirst()
+    }
+
+    private fun compared(
+        now: Micros,
+        wall: Micros,
+        events: List<Event>,
+    ): List<Effect> {
+        // Whoever goes second finds the processor's caches warm. Drawn: some work comes in every second step only.
+        val baseFirst = order.nextBoolean()
+        val early = if (baseFirst) resultOf { base.step(now, wall, events) } else null
+        val ours = resultOf { present.step(now, wall, events) }
+        val theirs = early ?: resultOf { base.step(now, wall, events) }
+        comparison.steps++
+        comparison.events += events.size
+        if (ours is StepResult.Returned) comparison.effects += ours.effects.size
+        differenceOf(theirs, ours)?.let(::tell)
+        return when (ours) {
+            is StepResult.Returned -> ours.effects
+            is StepResult.Failed -> throw ours.cause
+        }
+    }
+
+    private fun tell(detail: String) {
+        differs = true
+        comparison.differences += Difference(comparison.day, name, step, detail, log.map { it.shown() })
+    }
+
+    private companion object {
+        const val MOST_LOGGED = 30
+
+        /** Its own account of itself shows where an engine's state differs before its calls do. */
+        const val INSPECT_EVERY = 50
+    }
+}
--- a/src/test/kotlin/mintpick/sim/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/sim/GuardsTest.kt
@@ -104,7 +104,7 @@
         assertTrue(sent > 1, "$sent machines lost a start")
     }
 
-    /** `MachineMonitor.isOneWay`: its reports to the others speak for a machine that hears nobody. */
+    /** `UnresponsiveMachines.isOneWay`: its reports to the others speak for a machine that hears nobody. */
     @Test
     fun `a machine that hears nothing is returned before its lease is over`() {
         var silent = 0
