--- a/src/main/kotlin/mintpick/core/MachineView.kt
+++ b/src/main/kotlin/mintpick/core/MachineView.kt
@@ -157,7 +157,7 @@
     }
 
     /** A start of [attempt] was sent in a direct command with [token] to the worker's [session]. */
-    fun launching(
+    fun startSent(
         attempt: AttemptId,
         token: Long,
         session: Long,
@@ -166,12 +166,12 @@
     }
 
     /** The latest start of [attempt] was answered, or never left: it can't be executed later. */
-    fun launchSettled(attempt: AttemptId) {
+    fun startSettled(attempt: AttemptId) {
         inFlight.remove(attempt)
     }
 
     /** No answer came: the start of [attempt] may be executed at any later time while its token and session hold. */
-    fun launchLost(attempt: AttemptId) {
+    fun startLost(attempt: AttemptId) {
         inFlight.remove(attempt)?.let { lost[attempt] = it }
     }
 
@@ -209,14 +209,14 @@
      * so nobody else's answers count with it, and this controller's last answer is longer ago than [leaseUs] and the drift of
      * two clocks.
      */
-    fun hasLapsed(
+    fun hasLeaseExpired(
         now: Micros,
         since: Micros,
         firstToken: Long,
         leaseUs: Micros,
     ): Boolean {
         if (latest == null || token < firstToken || renewedUs < since) return false
-        return isLeaseOver(now, maxOf(renewedUs, heardUs), leaseUs)
+        return isLeaseExpired(now, maxOf(renewedUs, heardUs), leaseUs)
     }
 
     /** Whether the worker may forget [attempt], told so with [token]: no start that is still under way may bring it back. */
@@ -245,7 +245,7 @@
         private const val EXPIRY_MARGIN: Micros = SECOND
 
         /** Whether a lease of [leaseUs] that was renewed at [renewedUs] at the latest has surely expired at [now]. */
-        fun isLeaseOver(
+        fun isLeaseExpired(
             now: Micros,
             renewedUs: Micros,
             leaseUs: Micros,
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -146,7 +146,7 @@
         driveAgents()
         updateCycle.tick()
         userRequests.tick()
-        hintExchange.tick(scheduler.lacksRoom)
+        hintExchange.tick(scheduler.lacksCapacity)
         return context.takeEffects()
     }
 
@@ -155,7 +155,7 @@
         formats.tick()
         health.tick()
         shardClaims.tick()
-        agents.watchControl()
+        agents.refreshControl()
     }
 
     private fun planCapacity() {
@@ -172,7 +172,7 @@
         context.cache.touched.clear()
         agents.tick(touched)
         preemptionPlanner.tick(touched)
-        reconciler.look(touched + agents.takeHeard())
+        reconciler.reconcile(touched + agents.takeMachinesHeard())
     }
 
     /**
@@ -204,8 +204,8 @@
             is Event.Malformed -> userRequests.malformed(event.id, event.reason, event.reply)
             is Event.Poll -> userRequests.poll(event.id, event.reply)
             is Event.Cancel -> userRequests.cancel(event.id, event.reply)
-            is Event.Report -> agents.onReport(event.report, event.reply)
-            is Event.Hint -> context.send(event.reply, hintExchange.answer(event.hint, scheduler.lacksRoom))
+            is Event.Report -> agents.onHeartbeat(event.report, event.reply)
+            is Event.Hint -> context.send(event.reply, hintExchange.answer(event.hint, scheduler.lacksCapacity))
             is Event.Inspect -> sendStatus(event.reply)
             is Event.CallDone -> context.callDone(event.id, event.outcome)
         }
--- a/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
@@ -35,10 +35,10 @@
         val drafts = LinkedHashMap<JobId, JobUpdate>()
         val draftOf: (JobId) -> JobUpdate? = { id -> drafts[id] ?: newDraft(id)?.also { drafts[id] = it } }
         draftCancellations(draftOf)
-        reconciler.due().forEach { draftOf(it) }
+        reconciler.jobsToWrite().forEach { draftOf(it) }
         draftFinalRecords(draftOf)
-        if (stateStore.reachable) scheduler.schedule(jobUpdates, drafts, draftOf)
-        if (jobUpdates.commit(drafts.values, scheduler.lacksWrites)) scheduler.foundNoWrite()
+        if (stateStore.isReachable) scheduler.schedule(jobUpdates, drafts, draftOf)
+        if (jobUpdates.commit(drafts.values, scheduler.lacksWrites)) scheduler.onPlacementsNotWritten()
     }
 
     /** A draft that holds all that is proven of the job; null if it is unknown or a transaction with it is under way. */
@@ -62,7 +62,7 @@
     private fun draftFinalRecords(draftOf: (JobId) -> JobUpdate?) {
         val writes = jobUpdates.budget() - RESERVED_WRITES
         if (writes <= 0) return
-        val own = context.cache.closableJobs().filter { shardClaims.preferredController(it.id) == context.me }
+        val own = context.cache.closableJobs().filter { shardClaims.preferredController(it.id) == context.self }
         own.take(minOf(writes, MAX_FINAL_RECORDS)).toList().forEach { draftOf(it.id)?.writeFinalRecord() }
     }
 
--- a/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
+++ b/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
@@ -41,7 +41,7 @@
                 context.now - view.reportedUs < context.settings.reportUs * 2 &&
                 !reconciler.failures.isFaulty(view.id) &&
                 !agents.isUnreachable(view.id) &&
-                !commandPlanner.isEmptying(view, shardClaims.control(view.id))
+                !commandPlanner.isDraining(view, shardClaims.control(view.id))
         }
 }
 
@@ -102,7 +102,7 @@
     ): PeerHint {
         val imageNumbers = LinkedHashMap<String, Int>()
         val machines = if (listsMachines) machineHints.of(imageNumbers) else emptyList()
-        val stateAgeUs = stateStore.lastServedUs?.takeIf { stateStore.serving }?.let { context.now - it }
+        val stateAgeUs = stateStore.lastServedUs?.takeIf { stateStore.isServing }?.let { context.now - it }
         return PeerHint(
             context.settings.node,
             stateAgeUs ?: NEVER_SERVED,
--- a/src/main/kotlin/mintpick/engine/StatusReporter.kt
+++ b/src/main/kotlin/mintpick/engine/StatusReporter.kt
@@ -43,19 +43,19 @@
             recordFormat = formats.current.name.lowercase(),
             formatLevels = formats.levels(),
             limits = limits(),
-            tooLargeTransactions = stateStore.tooLarge,
+            tooLargeTransactions = stateStore.tooLargeTransactions,
         )
     }
 
     private fun ownShards(): List<Int> =
         context.cache.claims
-            .filterValues(shardClaims::isMine)
+            .filterValues(shardClaims::isOwn)
             .keys
             .sorted()
 
     private fun ownBorrowedMachines(): List<String> =
         context.cache.borrows
-            .filterValues(shardClaims::isMine)
+            .filterValues(shardClaims::isOwn)
             .keys
             .map { it.text }
 
--- a/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
@@ -122,7 +122,7 @@
      */
     fun isConfirmed(view: MachineView): Boolean {
         val claim = shardClaims.control(view.id) ?: return false
-        return shardClaims.isMine(claim) && view.latest != null && view.token >= claim.version
+        return shardClaims.isOwn(claim) && view.latest != null && view.token >= claim.version
     }
 
     /**
@@ -147,10 +147,10 @@
     fun hasLapsed(view: MachineView): Boolean {
         val period = controlPeriods[view.id] ?: return false
         if (!shardClaims.controls(view.id)) return false
-        if (!view.hasLapsed(context.now, period.sinceUs, period.firstToken, context.settings.leaseUs)) return false
+        if (!view.hasLeaseExpired(context.now, period.sinceUs, period.firstToken, context.settings.leaseUs)) return false
         // Another controller in its zone may have answered its heartbeats on our behalf.
         val answeredOnBehalfUntilUs = health.answeredOnBehalfUntil(cache.machines[view.id]?.record?.zone) ?: return false
-        return MachineView.isLeaseOver(context.now, answeredOnBehalfUntilUs, context.settings.leaseUs)
+        return MachineView.isLeaseExpired(context.now, answeredOnBehalfUntilUs, context.settings.leaseUs)
     }
 
     /**
@@ -165,7 +165,7 @@
         val acquired = ArrayList<MachineId>()
         for (known in cache.machines.values) {
             val claim = shardClaims.control(known.id)
-            if (!shardClaims.isMine(claim)) {
+            if (!shardClaims.isOwn(claim)) {
                 controlPeriods.remove(known.id)
             } else if (known.id !in controlPeriods) {
                 controlPeriods[known.id] = ControlPeriod(context.now, claim?.version ?: 0)
--- a/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
@@ -35,10 +35,10 @@
     fun views(): Collection<MachineView> = index.views()
 
     /** Machines under this controller's control. */
-    val mine: Set<MachineId> get() = index.controlled
+    val controlled: Set<MachineId> get() = index.controlled
 
     /** Machines whose status has come since the last call. */
-    fun takeHeard(): Set<MachineId> = index.takeHeard()
+    fun takeMachinesHeard(): Set<MachineId> = index.takeHeard()
 
     /** Whether the last status is recent enough for the machine to be given work. */
     fun isFresh(view: MachineView): Boolean = index.isFresh(view)
@@ -47,10 +47,10 @@
     fun isConfirmed(view: MachineView): Boolean = index.isConfirmed(view)
 
     /** Whether [machine] came under control a moment ago and is not yet confirmed, or the records are older than its claim. */
-    fun isSettling(machine: MachineId): Boolean = index.isSettling(machine)
+    fun isAcquiring(machine: MachineId): Boolean = index.isSettling(machine)
 
     /** Whether the agent's lease has surely expired, so that it has killed its tasks. */
-    fun hasLapsed(view: MachineView): Boolean = index.hasLapsed(view)
+    fun hasLeaseExpired(view: MachineView): Boolean = index.hasLapsed(view)
 
     /** Since when [machine] has been silent towards this controller although under its control. */
     fun silentSince(machine: MachineId): Micros = index.silentSince(machine)
@@ -71,7 +71,7 @@
     val isCutOff: Boolean get() = reachability.isCutOff
 
     /** Takes the heartbeat [report]; [reply] is answered at once, or when a take-over of its machine is decided. */
-    fun onReport(
+    fun onHeartbeat(
         report: MachineReport,
         reply: ReplyTo,
     ) = heartbeats.onHeartbeat(report, reply)
@@ -98,7 +98,7 @@
     }
 
     /** To be called in each step before any machine is judged: takes in changes of control. */
-    fun watchControl() {
+    fun refreshControl() {
         when (val refresh = index.refreshControl()) {
             ControlRefresh.Unchanged -> Unit
             is ControlRefresh.Refreshed -> reachability.onControlRefreshed(refresh.acquired)
--- a/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
@@ -55,7 +55,7 @@
             return
         }
         val claim = shardClaims.control(machine) ?: return
-        if (!shardClaims.isMine(claim) || !health.healthy() || index.isTerminated(machine)) return
+        if (!shardClaims.isOwn(claim) || !health.healthy() || index.isTerminated(machine)) return
         val view = index.viewOrCreate(machine)
         val address = addressOf(view) ?: return
         val commands = if (view.latest == null) emptyList() else commandPlanner.commandsFor(view, claim)
@@ -81,8 +81,8 @@
         address: String,
         batch: CommandBatch,
     ) {
-        val starts = CommandPlanner.starts(batch.commands)
-        starts.forEach { view.launching(it, batch.token, batch.session) }
+        val starts = CommandPlanner.startedAttempts(batch.commands)
+        starts.forEach { view.startSent(it, batch.token, batch.session) }
         val call = WorkerProtocol.commands(address, batch, reachability.isSuspect(view.id))
         start(view.id, call) { result -> onBatchResult(view, batch, starts, result) }
     }
@@ -95,9 +95,9 @@
         result: WorkerProtocol.Result,
     ): Boolean {
         if (result == WorkerProtocol.Result.Unanswered) {
-            starts.forEach(view::launchLost)
+            starts.forEach(view::startLost)
         } else {
-            starts.forEach(view::launchSettled)
+            starts.forEach(view::startSettled)
         }
         val report = statusIn(result)
         if (report != null) takeStatus(view, report)
@@ -201,7 +201,7 @@
         touched.forEach { if (it in index.controlled) push(it) }
         if (context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
-        commandPlanner.clean()
+        commandPlanner.forgetObsoleteStops()
         if (reachability.isCutOff) probeUncontrolled()
         confirmControlled()
     }
--- a/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
@@ -49,7 +49,7 @@
         attempts.forEach { stopReasons.replace(it, StopReason.REQUEUE_SENT, StopReason.REQUEUE_UNKNOWN) }
 
     /** Forgets attempts that the records no longer show. */
-    fun clean() {
+    fun forgetObsoleteStops() {
         if (stopReasons.isEmpty()) return
         stopReasons.keys.removeIf { attempt -> cache.job(attempt.task.job)?.placement(attempt.task.index)?.attempt != attempt.attempt }
     }
@@ -86,7 +86,7 @@
             .map { (attempt, _) -> command(Verb.STOP, attempt, NO_GRACE_S) }
 
     /** Whether what has not started yet should not start on [view]'s machine any more. */
-    fun isEmptying(
+    fun isDraining(
         view: MachineView,
         claim: Claim?,
     ): Boolean = isNoticed(view, claim) || isRetiring(view)
@@ -180,7 +180,7 @@
         attempt: AttemptId,
     ): Boolean {
         val job = cache.job(attempt.task.job) ?: return false
-        return isRunnable(job) && !isStopping(attempt) && !isEmptying(view, claim)
+        return isRunnable(job) && !isStopping(attempt) && !isDraining(view, claim)
     }
 
     private fun command(
@@ -197,7 +197,7 @@
         private const val MAX_DRAIN_ESTIMATE_S = 60.0
 
         /** The attempts that [commands] start. */
-        fun starts(commands: List<Command>): Set<AttemptId> =
+        fun startedAttempts(commands: List<Command>): Set<AttemptId> =
             commands
                 .filter { it.verb == Verb.START }
                 .mapNotNullTo(HashSet(), ::attemptOf)
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
@@ -47,7 +47,7 @@
     ): Answer {
         val claim = shardClaims.control(view.id)
         if (!stateStore.hasLoaded || claim == null) return errorAnswer(UNAVAILABLE, "not ready")
-        if (claim.node != context.me) return answerUncontrolled(view, report, claim, scope)
+        if (claim.node != context.self) return answerUncontrolled(view, report, claim, scope)
         if (claim.version < report.token) {
             // Either a borrowing has ended, or another controller has taken over and we do not know it yet.
             shardClaims.raise(view.id, "seen-higher")
@@ -66,12 +66,12 @@
         val carriesAll = scope == AnswerScope.ALL_COMMANDS
         // Our earlier process may have left starts under way that only the next token ends: until then stops alone are sent.
         val commands =
-            if (carriesAll && shardClaims.isMine(claim)) {
+            if (carriesAll && shardClaims.isOwn(claim)) {
                 commandPlanner.answerFor(view, claim)
             } else {
                 commandPlanner.stopsOfCancelled(view)
             }
-        if (carriesAll) view.answeredWith(CommandPlanner.starts(commands))
+        if (carriesAll) view.answeredWith(CommandPlanner.startedAttempts(commands))
         if (scope != AnswerScope.UNREAD) view.answeredReport(context.now)
         return accepted(claim, commands)
     }
--- a/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
@@ -49,7 +49,7 @@
     private val cache get() = context.cache
 
     /** Marks the listed [machine] as one to be drained, or to be released at once; [reason] goes into the log. */
-    fun retire(
+    fun markForScaleIn(
         machine: MachineId,
         mode: Retiring,
         reason: String,
@@ -64,11 +64,11 @@
     }
 
     /** Whether [machine] waits to be marked as one to be scaled in. */
-    fun isMarked(machine: MachineId): Boolean = machine in requests
+    fun isMarkedForScaleIn(machine: MachineId): Boolean = machine in requests
 
     /** Sends the writes that are due. */
     fun tick() {
-        if (!stateStore.serving || !stateStore.reachable || context.now < nextTickUs) return
+        if (!stateStore.isServing || !stateStore.isReachable || context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
         // The longest waiting first: otherwise the same few would take all writes while a cluster boots.
         val changes = collectChanges().sortedBy { writesOf(it.partition).nextUs }
@@ -83,7 +83,7 @@
     private fun dropObsoleteRequests() {
         requests.values.removeIf { request ->
             request.machine !in cache.machines ||
-                reconciler.isGone(request.machine) ||
+                reconciler.isTerminated(request.machine) ||
                 (request.isImmediate && !shardClaims.controls(request.machine))
         }
     }
@@ -92,7 +92,7 @@
         val added = agents.views().filter(::isToBeAdded).groupBy { partitionOf(it.id) }
         val terminated =
             cache.machines.values
-                .filter { reconciler.isGone(it.id) && cache.tasksOn(it.id).isEmpty() }
+                .filter { reconciler.isTerminated(it.id) && cache.tasksOn(it.id).isEmpty() }
                 .groupBy { partitionOf(it.id) }
         dropObsoleteRequests()
         val scaledIn = requests.values.groupBy { partitionOf(it.machine) }
@@ -108,7 +108,7 @@
         }
     }
 
-    private fun partitionOf(machine: MachineId): Int = shardClaims.part(machine.text)
+    private fun partitionOf(machine: MachineId): Int = shardClaims.partition(machine.text)
 
     /** Whether the machine is alive and not in the list, or only in a record of an earlier version. */
     private fun isToBeAdded(view: MachineView): Boolean {
@@ -116,7 +116,7 @@
         val isListed = known != null && !known.legacy
         return view.latest != null &&
             !isListed &&
-            !reconciler.isGone(view.id) &&
+            !reconciler.isTerminated(view.id) &&
             agents.isConfirmed(view) &&
             agents.isFresh(view)
     }
@@ -138,7 +138,7 @@
 
     private fun takeWrite(change: MachineListChanges): Boolean {
         if (!change.isUrgent) return writeBudget.take(context.now, 1.0)
-        writeBudget.force(context.now, 1.0)
+        writeBudget.charge(context.now, 1.0)
         return true
     }
 
@@ -148,7 +148,7 @@
         writes.nextUs = context.now + WRITE_INTERVAL
         if (transaction == null) return
         writes.isBusy = true
-        writeBudget.force(context.now, (transaction.writes.size - 1).toDouble())
+        writeBudget.charge(context.now, (transaction.writes.size - 1).toDouble())
         stateStore.transact(transaction.guards, transaction.writes) { result ->
             writes.isBusy = false
             if (result is TransactionResult.Committed) {
--- a/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
+++ b/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
@@ -37,8 +37,8 @@
     ): TaskOutcomes? {
         val view = agents.view(machine) ?: return null
         val claim = shardClaims.control(machine) ?: return null
-        val isInControl = shardClaims.isMine(claim) && cache.revision >= claim.version
-        if (isInControl && agents.hasLapsed(view)) return leaseExpired(machine, before)
+        val isInControl = shardClaims.isOwn(claim) && cache.revision >= claim.version
+        if (isInControl && agents.hasLeaseExpired(view)) return leaseExpired(machine, before)
         val examination = Examination(view, claim, if (isInControl) claim.version else NO_TOKEN, before)
         for (attempt in attemptsOn(machine)) {
             val job = cache.job(attempt.task.job) ?: continue
@@ -108,7 +108,7 @@
         ): Boolean =
             cause == null &&
                 job.stage == StoredStage.OPEN &&
-                !commandPlanner.isEmptying(view, claim) &&
+                !commandPlanner.isDraining(view, claim) &&
                 !commandPlanner.isStopping(attempt)
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
@@ -39,10 +39,10 @@
     val failures: FailureTracker get() = failureHandler.failures
 
     /** Whether [machine] is proven to be terminated. */
-    fun isGone(machine: MachineId): Boolean = machine in terminated
+    fun isTerminated(machine: MachineId): Boolean = machine in terminated
 
     /** [machine] is proven to be terminated, and every task on it has ended; [reason] goes into the log. */
-    fun gone(
+    fun markTerminated(
         machine: MachineId,
         reason: String,
     ) {
@@ -53,10 +53,10 @@
     }
 
     /** Whether the backoff of [job] is over: one that keeps failing may fail on every machine until its user cancels it. */
-    fun mayPlace(job: JobId): Boolean = failures.mayRetry(job, context.now)
+    fun mayRetry(job: JobId): Boolean = failures.mayRetry(job, context.now)
 
     /** Whether no worker's refusal of a start on [machine] is recent. */
-    fun hasRoom(machine: MachineId): Boolean = failureHandler.hasRoom(machine)
+    fun acceptsStarts(machine: MachineId): Boolean = failureHandler.hasRoom(machine)
 
     /** Room on [machine] that the records still show as taken. */
     fun freedOn(machine: MachineId): Resources = pendingWrites.freedOn(machine)
@@ -65,14 +65,14 @@
      * Examines the [changed] machines; all with tasks when claims have changed, and this controller's once in
      * [SWEEP_INTERVAL] for what time alone proves: that a lease has expired.
      */
-    fun look(changed: Collection<MachineId>) {
+    fun reconcile(changed: Collection<MachineId>) {
         changedMachines += changed
         if (cache.claimEpoch != lastClaimEpoch) {
             lastClaimEpoch = cache.claimEpoch
             changedMachines += cache.machinesWithTasks()
         } else if (context.now >= nextSweepUs) {
             nextSweepUs = context.now + SWEEP_INTERVAL
-            changedMachines += agents.mine
+            changedMachines += agents.controlled
             failureHandler.forgetFinished()
         }
         changedMachines.forEach(::examine)
@@ -99,7 +99,7 @@
     fun apply(draft: JobUpdate) = pendingWrites.apply(draft)
 
     /** Jobs of which something must be written now; see [PendingJobWrites.due]. */
-    fun due(): List<JobId> = pendingWrites.due()
+    fun jobsToWrite(): List<JobId> = pendingWrites.due()
 
     private companion object {
         val LOG = LoggerFactory.getLogger(Reconciler::class.java)
--- a/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
@@ -23,7 +23,7 @@
     fun returnUnused() {
         borrowedSinceUs.keys.retainAll(cache.borrows.keys)
         for ((machine, claim) in cache.borrows.toMap()) {
-            if (!shardClaims.isMine(claim)) continue
+            if (!shardClaims.isOwn(claim)) continue
             val sinceUs = borrowedSinceUs.getOrPut(machine) { context.now }
             val isWanted = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
             val isDue = !isWanted && context.now - sinceUs > MIN_BORROW_TIME
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
@@ -56,13 +56,13 @@
 
     /** Whether [machine] takes tasks, now or once its controller finds the time. */
     private fun isUsable(machine: KnownMachine): Boolean =
-        machine.record.retiring == Retiring.NO && !reconciler.isGone(machine.id) && !isLeaving(machine.id)
+        machine.record.retiring == Retiring.NO && !reconciler.isTerminated(machine.id) && !isLeaving(machine.id)
 
     /** Whether [machine] is this controller's, and is silent or being drained. */
     private fun isLeaving(machine: MachineId): Boolean {
         val view = agents.view(machine) ?: return false
         if (!shardClaims.controls(machine)) return false
-        return !agents.isFresh(view) || commandPlanner.isEmptying(view, shardClaims.control(machine))
+        return !agents.isFresh(view) || commandPlanner.isDraining(view, shardClaims.control(machine))
     }
 
     private fun roomOn(
@@ -98,7 +98,7 @@
 
     /** The spot machines, or the on-demand ones, that are not known to be terminated. */
     fun summary(spot: Boolean): CapacitySummary {
-        val machines = cache.machines.values.filter { it.record.spot == spot && !reconciler.isGone(it.id) }
+        val machines = cache.machines.values.filter { it.record.spot == spot && !reconciler.isTerminated(it.id) }
         val recordedCpus = machines.sumOf { cache.usedOn(it.id).cpus }
         val usedCpus = machines.sumOf { minOf(cache.usedOn(it.id).cpus, cpusOf(it)) }
         return CapacitySummary(
--- a/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
@@ -47,11 +47,11 @@
     private val cache get() = context.cache
 
     /** Machines that the cloud lists as failed and that are not known to be terminated. */
-    fun failedMachines(): List<MachineId> = failed.filter { !reconciler.isGone(it) }
+    fun failedMachines(): List<MachineId> = failed.filter { !reconciler.isTerminated(it) }
 
     /** Updates what is known of machines, and requests what is due from the cloud. */
     fun tick() {
-        if (!stateStore.serving) return
+        if (!stateStore.isServing) return
         if (context.now >= nextUpdateUs) updateKnownMachines()
         machineTypes.tick()
         // Just after a start there is more urgent work than reading a thousand machines.
@@ -82,7 +82,7 @@
         if (cloud.readBudget.available(context.now) < leastBudget) return
         val open = begun ?: Listing(context.now).also { listing = it }
         if (open.isRequested || context.now < open.nextRequestUs) return
-        cloud.readBudget.force(context.now, 1.0)
+        cloud.readBudget.charge(context.now, 1.0)
         open.isRequested = true
         context.call(cloud.protocol.list(open.machines.lastOrNull()?.id)) { onPage(open, it) }
     }
@@ -110,7 +110,7 @@
 
     private fun register(machine: ListedMachine) {
         val id = MachineId(machine.id)
-        if (reconciler.isGone(id)) return
+        if (reconciler.isTerminated(id)) return
         shardClaims.register(id, machine.zone)
         recordKnown(id)
         if (machine.stage == RentalStage.FAILED) failed += id
@@ -127,7 +127,7 @@
             if (id in listed || list.startedUs - sinceUs < lagUs + LIST_LAG_MARGIN) continue
             val heardUs = agents.view(id)?.heardUs
             if (heardUs != null && list.startedUs - heardUs < lagUs) continue
-            reconciler.gone(id, "not-listed")
+            reconciler.markTerminated(id, "not-listed")
             booting.remove(id)
             if (id !in cache.machines && cache.tasksOn(id).isEmpty()) firstKnownUs.remove(id)
         }
@@ -145,7 +145,7 @@
 
     /** The cloud has confirmed the release of [id], which proves it terminated. */
     fun onReleased(id: MachineId) {
-        reconciler.gone(id, "released")
+        reconciler.markTerminated(id, "released")
         booting.remove(id)
         failed.remove(id)
     }
--- a/src/main/kotlin/mintpick/engine/capacity/IdleMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/IdleMachines.kt
@@ -32,11 +32,11 @@
         val idle =
             unused
                 .mapNotNull { cache.machines[it] }
-                .filterNot { machineRegistry.isMarked(it.id) }
+                .filterNot { machineRegistry.isMarkedForScaleIn(it.id) }
                 .sortedBy { it.id.text }
         val due = dueForDraining(idle)
         val count = maxOf(MIN_DRAINED, due.size / DRAINED_PART)
-        due.take(count).forEach { machineRegistry.retire(it.id, Retiring.DRAIN, "idle") }
+        due.take(count).forEach { machineRegistry.markForScaleIn(it.id, Retiring.DRAIN, "idle") }
     }
 
     /** On-demand machines cost several times as much: beyond a few that may soon be needed again they go early. */
--- a/src/main/kotlin/mintpick/engine/capacity/LeaderStatus.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/LeaderStatus.kt
@@ -14,7 +14,7 @@
     private val health: ControllerHealth,
 ) {
     /** Whether the records are loaded and kept up to date. */
-    val isServing: Boolean get() = stateStore.serving
+    val isServing: Boolean get() = stateStore.isServing
 
     /** How long the records have been loaded. */
     val servingForUs: Micros get() = context.now - stateStore.servingSinceUs
--- a/src/main/kotlin/mintpick/engine/capacity/NoticedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/NoticedMachines.kt
@@ -26,7 +26,7 @@
         for (view in agents.views()) {
             if (!isNoticed(view)) continue
             val retiring = cache.machines[view.id]?.record?.retiring
-            if (retiring == Retiring.NO) machineRegistry.retire(view.id, Retiring.DRAIN, "notice")
+            if (retiring == Retiring.NO) machineRegistry.markForScaleIn(view.id, Retiring.DRAIN, "notice")
             if (hasTasksToStop(view)) agents.push(view.id)
         }
     }
--- a/src/main/kotlin/mintpick/engine/capacity/ScaleIn.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/ScaleIn.kt
@@ -31,7 +31,7 @@
     /** Each controller drains the faulty ones among its machines: only it sees what fails there. */
     fun drainFaulty() {
         if (!leaderStatus.isHealthy) return
-        reconciler.failures.faultyMachines().forEach { machineRegistry.retire(it, Retiring.DRAIN, "errors") }
+        reconciler.failures.faultyMachines().forEach { machineRegistry.markForScaleIn(it, Retiring.DRAIN, "errors") }
     }
 
     /** Releases machines when that is due. */
@@ -68,7 +68,7 @@
     /** Machines marked as lost or faulty, and drained ones that are empty. */
     private fun retiredMachines(): List<MachineId> =
         cache.machines.values
-            .filter { isReleasable(it.id, it.record.retiring) && !reconciler.isGone(it.id) }
+            .filter { isReleasable(it.id, it.record.retiring) && !reconciler.isTerminated(it.id) }
             .map { it.id }
 
     private fun isReleasable(
--- a/src/main/kotlin/mintpick/engine/capacity/ScaleOut.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/ScaleOut.kt
@@ -76,7 +76,7 @@
         offer: Offer,
         count: Int,
     ): RentalRequest {
-        val name = "${context.me.text}-$incarnation-${++requestCount}"
+        val name = "${context.self.text}-$incarnation-${++requestCount}"
         return RentalRequest(name, offer.type, offer.zone, offer.spot, count)
     }
 
--- a/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
@@ -59,7 +59,7 @@
     /** Probes late machines and marks those for release that have been unresponsive for long enough. */
     fun check() {
         if (context.now - stateStore.servingSinceUs < SETTLING_TIME) return
-        val monitored = agents.mine.mapNotNull(agents::view).filter(::isMonitored)
+        val monitored = agents.controlled.mapNotNull(agents::view).filter(::isMonitored)
         val serving = monitored.filterTo(HashSet(), ::servesUsers)
         probeLate(monitored, serving)
         val unresponsive = monitored.filter { isSilent(it, it in serving) || isOneWay(it) }
@@ -105,7 +105,7 @@
         // Peers heard after the first call that failed: the way to the machine's zone was open when it did not respond.
         val wasZoneReachable = health.heardFromZone(zoneOf(view), failingSinceUs) && isZoneReachable(view)
         val isOverdue = context.now - sinceUs > releaseDelay(view, mayBeOwnFault, wasZoneReachable)
-        if (isOverdue) machineRegistry.retire(view.id, Retiring.NOW, if (isOneWay) "one-way" else "silent")
+        if (isOverdue) machineRegistry.markForScaleIn(view.id, Retiring.NOW, if (isOneWay) "one-way" else "silent")
     }
 
     /**
--- a/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
@@ -131,7 +131,7 @@
             if (isDecided(id)) {
                 request.replies.forEach { answers.sendCurrentStage(id, it) }
                 entries.remove()
-            } else if (!stateStore.reachable || context.now - request.sinceUs > MAX_WAIT) {
+            } else if (!stateStore.isReachable || context.now - request.sinceUs > MAX_WAIT) {
                 request.replies.forEach { context.send(it, answers.unavailable("could not be stored in time")) }
                 entries.remove()
             }
--- a/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
@@ -29,7 +29,7 @@
 
     /** Removes the records of at most one job. */
     fun tick() {
-        if (!stateStore.serving || !stateStore.reachable || context.now < nextSweepUs) return
+        if (!stateStore.isServing || !stateStore.isReachable || context.now < nextSweepUs) return
         nextSweepUs = context.now + SWEEP_INTERVAL
         noteUnused()
         unusedSinceUs.keys.firstOrNull(::isDue)?.let(::remove)
@@ -43,7 +43,7 @@
 
     private fun isDue(job: JobId): Boolean {
         val sinceUs = unusedSinceUs[job] ?: return false
-        return context.now - sinceUs > retention(job) && shardClaims.preferredController(job) == context.me
+        return context.now - sinceUs > retention(job) && shardClaims.preferredController(job) == context.self
     }
 
     /** A user who was not told of the acceptance may submit the same job again for a minute. */
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -54,9 +54,9 @@
 
     /** Whether at least one transaction may leave now. */
     val canSend: Boolean get() =
-        stateStore.serving &&
-            stateStore.reachable &&
-            stateStore.transactionsOpen < MAX_TRANSACTIONS_IN_FLIGHT &&
+        stateStore.isServing &&
+            stateStore.isReachable &&
+            stateStore.openTransactions < MAX_TRANSACTIONS_IN_FLIGHT &&
             stateStore.writesAllowed() > 0
 
     /** Whether no placement of [team] that raises its reservation is in flight. */
@@ -97,7 +97,7 @@
         part: TransactionPart,
         reservedWrites: Int,
     ): Boolean {
-        if (stateStore.transactionsOpen >= MAX_TRANSACTIONS_IN_FLIGHT) return false
+        if (stateStore.openTransactions >= MAX_TRANSACTIONS_IN_FLIGHT) return false
         return batch.writesWith(part) <= maxOf(1, stateStore.writesAllowed() - reservedWrites)
     }
 
--- a/src/main/kotlin/mintpick/engine/jobs/UserRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/UserRequests.kt
@@ -28,7 +28,7 @@
         val finalStage = answers.finalStage(id)
         when {
             finalStage != null -> answers.sendStage(id, finalStage, reply)
-            !stateStore.serving || !stateStore.reachable -> context.send(reply, answers.stateStoreUnavailable())
+            !stateStore.isServing || !stateStore.isReachable -> context.send(reply, answers.stateStoreUnavailable())
             cache.types.isEmpty() -> context.send(reply, answers.unavailable("machine types are not known yet"))
             cache.job(id) != null -> answers.sendCurrentStage(id, reply)
             pendingRequests.isFull -> context.send(reply, answers.tooManySubmissions())
@@ -120,7 +120,7 @@
         val finalStage = answers.finalStage(id)
         when {
             finalStage != null -> answers.sendStage(id, finalStage, reply)
-            !stateStore.serving || !stateStore.reachable -> context.send(reply, answers.stateStoreUnavailable())
+            !stateStore.isServing || !stateStore.isReachable -> context.send(reply, answers.stateStoreUnavailable())
             cache.job(id)?.stage == StoredStage.CANCELLED -> answers.sendStage(id, JobStage.CANCELLED, reply)
             else -> cancelOnceCurrent(id, reply)
         }
--- a/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
@@ -53,7 +53,7 @@
 
     private fun claimRecord(): JsonElement? {
         val lease = stateStore.lease ?: return null
-        return WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord(context.me.text, lease))
+        return WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord(context.self.text, lease))
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -103,13 +103,13 @@
     ): Boolean = hints.heardElsewhere(machine, to, within)
 
     /** Whether the state service serves us and our lease holds. */
-    fun healthy(): Boolean = stateStore.serving && stateAgeUs < MAX_HEALTHY_STATE_AGE
+    fun healthy(): Boolean = stateStore.isServing && stateAgeUs < MAX_HEALTHY_STATE_AGE
 
     /** Whether the state service serves some peer while it does not serve us. */
     fun peersServed(): Boolean = hints.isAnyServed(since = stateStore.lastServedUs ?: 0)
 
     /** What `/up` says: not down in a shared outage, where no other controller would do better. */
-    fun up(): Boolean = stateStore.serving && (stateAgeUs < MAX_UP_STATE_AGE || !peersServed())
+    fun up(): Boolean = stateStore.isServing && (stateAgeUs < MAX_UP_STATE_AGE || !peersServed())
 
     /** Whether a task may still be started: not when its cancellation may have been confirmed for longer than a moment. */
     fun mayStartTasks(): Boolean = cancellations.unknownForUs() < MAX_START_CANCELLATION_AGE
--- a/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
+++ b/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
@@ -63,7 +63,7 @@
     ) {
         val claim = directory.control(machine)
         val key = directory.controlKey(machine)
-        if (claim == null || key == null || !directory.isMine(claim)) return
+        if (claim == null || key == null || !directory.isOwn(claim)) return
         if (context.now - (raisedAt[key] ?: -MIN_RAISE_INTERVAL) < MIN_RAISE_INTERVAL) return
         raisedAt[key] = context.now
         writer.claim(listOf(ClaimTarget(key, claim.version)), reason)
--- a/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
@@ -35,7 +35,7 @@
     val isLeader: Boolean get() = directory.isLeader
 
     /** The partition that a machine or job hashes into, in every zone. */
-    fun part(name: String): Int = directory.partition(name)
+    fun partition(name: String): Int = directory.partition(name)
 
     /** Notes the zone of [machine], which it keeps; before that nobody commands it. */
     fun register(
@@ -60,7 +60,7 @@
     fun controls(machine: MachineId): Boolean = directory.controls(machine)
 
     /** Whether [claim] is held by this process: not one of an earlier process under the same name, whose lease differs. */
-    fun isMine(claim: Claim?): Boolean = directory.isMine(claim)
+    fun isOwn(claim: Claim?): Boolean = directory.isOwn(claim)
 
     /** Whether the claim that commands [machine] is older than an agent needs to find its controller. */
     fun isSettled(machine: MachineId): Boolean {
@@ -80,10 +80,10 @@
 
     /** Claims what this controller is to hold; to be called in each step. */
     fun tick() {
-        if (!stateStore.serving || context.now < nextTickUs) return
+        if (!stateStore.isServing || context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
         claimAges.observe()
-        if (stateStore.reachable) rebalancer.tick()
+        if (stateStore.isReachable) rebalancer.tick()
     }
 
     /**
--- a/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
@@ -23,7 +23,7 @@
     val shardCount: Int = ShardClaims.PARTITIONS * zones.size
 
     /** Whether this controller is the leader. */
-    val isLeader: Boolean get() = isMine(cache.leader)
+    val isLeader: Boolean get() = isOwn(cache.leader)
 
     /** The partition that a machine or job hashes into, in every zone. */
     fun partition(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
@@ -66,16 +66,16 @@
         if (machine in cache.borrows) Keys.borrow(machine.text) else shard(machine)?.let { Keys.shard(it) }
 
     /** Whether [claim] is held by this process: not one of an earlier process under the same name, whose lease differs. */
-    fun isMine(claim: Claim?): Boolean = claim != null && claim.node == context.me && claim.lease == stateStore.lease
+    fun isOwn(claim: Claim?): Boolean = claim != null && claim.node == context.self && claim.lease == stateStore.lease
 
     /** Whether this controller commands [machine]. */
-    fun controls(machine: MachineId): Boolean = isMine(control(machine))
+    fun controls(machine: MachineId): Boolean = isOwn(control(machine))
 
     /** See [ShardClaims.preferredController]. */
     fun preferredController(job: JobId): NodeId? = cache.claims[partition(job.text)]?.node
 
     /** Whether the lease of [node] holds. */
-    fun isLive(node: NodeId): Boolean = node == context.me || node in cache.nodes
+    fun isLive(node: NodeId): Boolean = node == context.self || node in cache.nodes
 
     /** See [ShardClaims.guards]. */
     fun guards(machine: MachineId): List<Guard> {
--- a/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
@@ -40,7 +40,7 @@
         }
     }
 
-    private fun isOfEarlierProcess(claim: Claim): Boolean = claim.node == context.me && claim.lease != stateStore.lease
+    private fun isOfEarlierProcess(claim: Claim): Boolean = claim.node == context.self && claim.lease != stateStore.lease
 
     /** Claims of this node's earlier process are written anew: their lease is about to end. */
     private fun restoreShards() {
@@ -61,7 +61,7 @@
             cache.borrowEnds.keys.mapNotNullTo(HashSet()) { machine ->
                 directory.shard(machine)?.takeIf { shard ->
                     val claim = cache.claims[shard]
-                    claim != null && directory.isMine(claim) && directory.isSuperseded(machine, claim)
+                    claim != null && directory.isOwn(claim) && directory.isSuperseded(machine, claim)
                 }
             }
         val targets = shards.map { ClaimTarget(Keys.shard(it), cache.claims[it]?.version ?: 0) }
@@ -73,17 +73,17 @@
         if (free.isEmpty()) return
         // Just after a start the others are about to come, too: each takes what it is preferred for among all.
         val nodes = if (isStarting) configuredNodes else liveNodes()
-        val held = cache.claims.values.count { it.node == context.me }
+        val held = cache.claims.values.count { it.node == context.self }
         val share = ceilDiv(directory.shardCount, maxOf(1, nodes.size))
         val maxWait = maxWaitForPreferred(nodes)
-        val wanted = free.filter { preferredNode(it, nodes) == context.me || claimAges.unclaimedForUs(it) > maxWait }
+        val wanted = free.filter { preferredNode(it, nodes) == context.self || claimAges.unclaimedForUs(it) > maxWait }
         val targets = wanted.take((share - held).coerceAtLeast(0)).map { ClaimTarget(Keys.shard(it), 0) }
         if (targets.isNotEmpty()) writer.claim(targets, "free")
     }
 
     /** For how long a free shard is left to the node that it is preferred for; the others then try one after the other. */
     private fun maxWaitForPreferred(nodes: List<NodeId>): Micros {
-        val rank = nodes.indexOf(context.me).coerceAtLeast(0)
+        val rank = nodes.indexOf(context.self).coerceAtLeast(0)
         return (rank + 1) * STAGGER + if (isStarting) START_PERIOD else 0
     }
 
@@ -99,7 +99,7 @@
         shard: Int,
         claim: Claim,
     ): Boolean {
-        val isPreferredHere = claim.node != context.me && preferredNode(shard, configuredNodes) == context.me
+        val isPreferredHere = claim.node != context.self && preferredNode(shard, configuredNodes) == context.self
         return isPreferredHere && (claimAges.unchangedForUs(shard) ?: 0) > MIN_CLAIM_AGE
     }
 
--- a/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
@@ -18,7 +18,7 @@
     val random: RandomGenerator,
 ) {
     /** This controller. */
-    val me = NodeId(settings.node)
+    val self = NodeId(settings.node)
 
     /** The copy of the state service's records; another object after each [resetCache]. */
     var cache = LocalCache()
--- a/src/main/kotlin/mintpick/engine/runtime/TokenBucket.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/TokenBucket.kt
@@ -31,7 +31,7 @@
     }
 
     /** Takes [amount] tokens at [now] even if they are not there; who uses [take] later waits for them. */
-    fun force(
+    fun charge(
         now: Micros,
         amount: Double,
     ) {
--- a/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
@@ -36,7 +36,7 @@
     ): Placer.Rooms? {
         if (shardClaims.isLeader && needsAllMachines(job, unchangedUs, rooms)) return rooms.all
         val preferred = shardClaims.preferredController(job.id)
-        if (preferred == context.me || preferred == null) return rooms.own
+        if (preferred == context.self || preferred == null) return rooms.own
         return if (mayHelp(job, preferred, unchangedUs)) rooms.own else null
     }
 
@@ -81,7 +81,7 @@
 
     private fun isNextAfter(controller: NodeId): Boolean {
         val next = (controllers.indexOf(controller) + 1) % controllers.size
-        return controllers[next] == context.me
+        return controllers[next] == context.self
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/scheduling/FaultyJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FaultyJobs.kt
@@ -17,13 +17,13 @@
     private val health: ControllerHealth,
 ) {
     /** Whether the backoff of [job] after its last failure is over; true if none of its tasks failed. */
-    fun mayRetry(job: JobId): Boolean = reconciler.mayPlace(job)
+    fun mayRetry(job: JobId): Boolean = reconciler.mayRetry(job)
 
     /** How many of the waiting tasks of [job] may start now: of a faulty one a single probe, at its preferred controller. */
     fun startable(job: Job): Int {
         if (!isFaulty(job)) return job.waiting
         val preferred = shardClaims.preferredController(job.id)
-        val probesHere = preferred == context.me || preferred == null
+        val probesHere = preferred == context.self || preferred == null
         return if (probesHere) FailureTracker.probes(job.waiting, job.placed) else 0
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -53,18 +53,39 @@
         rooms: Placer.Rooms,
         pass: PlacementPass,
     ): Int {
-        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return 0
-        val limit = minOf(pass.teams.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
+        val limit = taskLimit(job, startable, pass)
         if (limit <= 0) return 0
         val found = findMachines(job, limit, rooms, pass)
-        if (found.isEmpty()) return 0
-        // Gangs start whole or not at all.
-        if (job.spec.isGang && found.size < job.waiting) return 0
+        if (found.isEmpty() || isIncompleteGang(job, found.size, job.waiting)) return 0
         hold(found, job, rooms, pass)
         if (!pass.hasWriteFor(job)) return 0
         val placeable = found.filter { isReady(it.machine, rooms) }
-        if (placeable.isEmpty()) return 0
-        if (job.spec.isGang && placeable.size < found.size) return 0
+        if (placeable.isEmpty() || isIncompleteGang(job, placeable.size, found.size)) return 0
+        return draftPlacements(job, placeable, rooms, pass)
+    }
+
+    private fun taskLimit(
+        job: Job,
+        startable: Int,
+        pass: PlacementPass,
+    ): Int {
+        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return 0
+        return minOf(pass.teams.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
+    }
+
+    /** Gangs start whole or not at all. */
+    private fun isIncompleteGang(
+        job: Job,
+        count: Int,
+        needed: Int,
+    ): Boolean = job.spec.isGang && count < needed
+
+    private fun draftPlacements(
+        job: Job,
+        placeable: List<TaskPlacement>,
+        rooms: Placer.Rooms,
+        pass: PlacementPass,
+    ): Int {
         // Parts of jobs are placed now and then, not for each task that ends or machine that comes up, since each costs
         // a write: the room is held for them meanwhile.
         val isPart = placeable.size < job.waiting
--- a/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
@@ -38,14 +38,14 @@
     private val cache get() = context.cache
 
     /** How many machines this controller commands, whether or not they may be given work. */
-    val ownMachineCount: Int get() = agents.mine.size
+    val ownMachineCount: Int get() = agents.controlled.size
 
     /** Room on this controller's own machines, less what [jobUpdates] has under way. */
     fun ownRooms(jobUpdates: JobUpdates): List<Room> =
-        agents.mine.mapNotNull { id ->
+        agents.controlled.mapNotNull { id ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.control(id)
-            if (claim == null || !shardClaims.isMine(claim)) return@mapNotNull null
+            if (claim == null || !shardClaims.isOwn(claim)) return@mapNotNull null
             roomOn(Candidate(machine, claim, isOwn = true, emptySet()), jobUpdates)
         }
 
@@ -54,7 +54,7 @@
         health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.control(id)
-            if (claim == null || shardClaims.isMine(claim)) return@mapNotNull null
+            if (claim == null || shardClaims.isOwn(claim)) return@mapNotNull null
             roomOn(Candidate(machine, claim, isOwn = false, images), jobUpdates)
         }
 
@@ -77,8 +77,8 @@
         val type = cache.types[machine.record.type]
         if (type == null || !mayTakeWork(machine)) return null
         val view = agents.view(machine.id)
-        if (view != null && commandPlanner.isEmptying(view, candidate.claim)) return null
-        val isSettling = candidate.isOwn && agents.isSettling(machine.id)
+        if (view != null && commandPlanner.isDraining(view, candidate.claim)) return null
+        val isSettling = candidate.isOwn && agents.isAcquiring(machine.id)
         if (candidate.isOwn && !isSettling && !isUsable(view)) return null
         return Room(
             machine = machine.id,
@@ -96,8 +96,8 @@
 
     private fun mayTakeWork(machine: KnownMachine): Boolean =
         machine.record.retiring == Retiring.NO &&
-            !reconciler.isGone(machine.id) &&
-            reconciler.hasRoom(machine.id)
+            !reconciler.isTerminated(machine.id) &&
+            reconciler.acceptsStarts(machine.id)
 
     /** What the records show as free, with what is known to have ended and without what is on its way to be stored. */
     private fun freeOn(
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -51,7 +51,7 @@
     var hasPlacedParts = false
 
     /** Whether a job found no room, as against no write. */
-    var lacksRoom = false
+    var lacksCapacity = false
 
     /** Whether a job could have been placed, but for a write. */
     var lacksWrites = false
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -34,7 +34,7 @@
         private set
 
     /** Whether some of them found no room here, as against no write. */
-    var lacksRoom = false
+    var lacksCapacity = false
         private set
 
     /** Whether a job could have been placed in the last pass, but for a write. */
@@ -42,7 +42,7 @@
         private set
 
     /** What the last pass placed could not be written. */
-    fun foundNoWrite() {
+    fun onPlacementsNotWritten() {
         lacksWrites = true
     }
 
@@ -79,14 +79,14 @@
         unchangedJobs.retain(waiting.keys)
         if (waiting.isEmpty()) {
             unschedulable = emptyList()
-            lacksRoom = false
+            lacksCapacity = false
             return
         }
         val pass = newPass(jobUpdates, draftOf, waiting.size)
         for (job in order(waiting.values)) serve(job, pass)
         if (pass.hasPlacedParts) pacing.partsPlaced()
         unschedulable = pass.unschedulable
-        lacksRoom = pass.lacksRoom
+        lacksCapacity = pass.lacksCapacity
         lacksWrites = pass.lacksWrites
         jobPlacer.borrowFor(pass)
     }
@@ -150,7 +150,7 @@
         rooms: Placer.Rooms,
         pass: PlacementPass,
     ) {
-        pass.lacksRoom = true
+        pass.lacksCapacity = true
         // Another controller may have room, for which nobody has to be preempted.
         val hasWaited = unchangedUs >= PREEMPT_AFTER
         if (hasWaited && !faultyJobs.isFaulty(job)) preemptionPlanner.preemptFor(job, rooms, candidates.zonesOf(job))
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -54,7 +54,7 @@
 
     /** Charges what has run since the last second, and stores a summary when one is due. */
     fun tick() {
-        if (!stateStore.serving) return
+        if (!stateStore.isServing) return
         restore()
         val before = chargedUs
         if (before != null && context.now - before < CHARGE_INTERVAL) return
@@ -67,7 +67,7 @@
     private fun restore() {
         if (isRestored) return
         isRestored = true
-        for (stored in summaries.storedBy(context.me)) window.set(stored.slot, stored.byTeam)
+        for (stored in summaries.storedBy(context.self)) window.set(stored.slot, stored.byTeam)
     }
 
     private fun charge(seconds: Double) {
@@ -111,7 +111,7 @@
         for (team in teams) sums[team.name] = window.use(team.name)
         val oldestSlot = window.slotOf(context.wall - operators.windowUs)
         for (node in cache.usage.keys) {
-            if (node == context.me) continue
+            if (node == context.self) continue
             for (stored in summaries.storedBy(node)) {
                 if (stored.slot < oldestSlot) continue
                 for ((team, use) in stored.byTeam) sums.merge(team, use, Double::plus)
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageSummaryStore.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageSummaryStore.kt
@@ -69,7 +69,7 @@
     /** Stores what [window] holds if the next summary is due, the state service is within reach, and writes are to spare. */
     fun storeIfDue(window: UsageWindow) {
         if (isWriting || context.now < nextSummaryUs) return
-        if (!stateStore.reachable || stateStore.writesAllowed() < MIN_WRITES_ALLOWED) return
+        if (!stateStore.isReachable || stateStore.writesAllowed() < MIN_WRITES_ALLOWED) return
         nextSummaryUs = context.now + operators.summaryEveryUs
         isWriting = true
         val writes = if (formats.current == RecordFormat.VERBOSE) listOf(wholeSummary(window)) else pieceSummaries(window)
@@ -91,7 +91,7 @@
         val snapshot = window.snapshot()
         val pieces = layout().piecesOf(window.slotOf(context.wall)).map { pieceSummary(it, snapshot) }
         if (!isWholeRecordOver(window)) return pieces
-        return pieces + Write(Keys.usage(context.me.text), null)
+        return pieces + Write(Keys.usage(context.self.text), null)
     }
 
     private fun pieceSummary(
@@ -107,7 +107,7 @@
     }
 
     private fun isWholeRecordOver(window: UsageWindow): Boolean {
-        val whole = cache.usage[context.me]?.get(WHOLE_RECORD) ?: return false
+        val whole = cache.usage[context.self]?.get(WHOLE_RECORD) ?: return false
         val oldestSlot = window.slotOf(context.wall - operators.windowUs)
         return whole.slots.keys.none { (it.toLongOrNull() ?: 0) >= oldestSlot }
     }
@@ -131,7 +131,7 @@
     private fun summary(
         piece: Int,
         record: UsageRecord,
-    ) = Write(Keys.usage(context.me.text, piece), WireJson.encodeToJsonElement(UsageRecord.serializer(), record))
+    ) = Write(Keys.usage(context.self.text, piece), WireJson.encodeToJsonElement(UsageRecord.serializer(), record))
 
     private companion object {
         /** The number under which the one record of earlier versions is kept. */
--- a/src/main/kotlin/mintpick/engine/state/FormatGate.kt
+++ b/src/main/kotlin/mintpick/engine/state/FormatGate.kt
@@ -42,10 +42,10 @@
 
     /** What this controller has to write to announce what it reads; null if it has. */
     fun announcement(): Write? {
-        val announced = context.cache.formats[context.me] ?: NOT_ANNOUNCED
+        val announced = context.cache.formats[context.self] ?: NOT_ANNOUNCED
         if (announced >= RecordFormat.NEWEST.level) return null
         val record = FormatRecord(RecordFormat.NEWEST.level)
-        return Write(Keys.format(context.me.text), WireJson.encodeToJsonElement(FormatRecord.serializer(), record))
+        return Write(Keys.format(context.self.text), WireJson.encodeToJsonElement(FormatRecord.serializer(), record))
     }
 
     /** Logs each change of the format once. */
--- a/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
+++ b/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
@@ -44,9 +44,9 @@
     /** Writes the record of this controller. */
     private fun register(lease: Long) {
         session.setupSent()
-        val record = NodeRecord(context.me.text, lease, context.wall)
+        val record = NodeRecord(context.self.text, lease, context.wall)
         val value = WireJson.encodeToJsonElement(NodeRecord.serializer(), record)
-        val write = Write(Keys.node(context.me.text), value, leased = true)
+        val write = Write(Keys.node(context.self.text), value, leased = true)
         // Unguarded: whatever an earlier process of this name left behind is over.
         transactions.transact(emptyList(), listOfNotNull(write, formats.announcement())) { result ->
             session.setupDone()
@@ -64,7 +64,7 @@
     fun renew() {
         val lease = session.lease ?: return
         // A late write of an earlier registration may have attached the record to a lease that has expired.
-        if (context.cache.nodes[context.me]?.lease != lease && session.maySetUp) {
+        if (context.cache.nodes[context.self]?.lease != lease && session.maySetUp) {
             session.delaySetup(REPAIR_INTERVAL)
             register(lease)
             return
--- a/src/main/kotlin/mintpick/engine/state/RequestLimits.kt
+++ b/src/main/kotlin/mintpick/engine/state/RequestLimits.kt
@@ -26,10 +26,10 @@
     fun tryRequest(): Boolean = requests.take(context.now, 1.0)
 
     /** Counts one request that must leave in any case; later ones that use [tryRequest] wait for it. */
-    fun chargeRequest() = requests.force(context.now, 1.0)
+    fun chargeRequest() = requests.charge(context.now, 1.0)
 
     /** Counts [count] written keys that leave in any case. */
-    fun chargeWrites(count: Int) = writes.force(context.now, count.toDouble())
+    fun chargeWrites(count: Int) = writes.charge(context.now, count.toDouble())
 
     private companion object {
         /** Part of the request limit that controllers plan for; the rest is for leases and bursts. */
--- a/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
@@ -29,7 +29,7 @@
     val lease: Long? get() = session.lease
 
     /** Whether this controller is registered and its cache is loaded. */
-    val serving: Boolean get() = session.isServing
+    val isServing: Boolean get() = session.isServing
 
     /** When this controller last registered while it was joining; 0 before that. */
     val servingSinceUs: Micros get() = session.servingSinceUs
@@ -41,7 +41,7 @@
     val lastServedUs: Micros? get() = statistics.lastServedUs
 
     /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
-    val reachable: Boolean get() = statistics.reachable
+    val isReachable: Boolean get() = statistics.reachable
 
     /**
      * Everything that was committed before this time is in the local cache; null before the first answered watch or
@@ -50,10 +50,10 @@
     val recordsKnownUs: Micros? get() = watchReader.recordsKnownUs
 
     /** Transactions that may still be answered soon; those whose answers are lost are not counted. */
-    val transactionsOpen: Int get() = transactions.openCount
+    val openTransactions: Int get() = transactions.openCount
 
     /** Transactions that the state service found too large, since the start. */
-    val tooLarge: Long get() = transactions.tooLarge
+    val tooLargeTransactions: Long get() = transactions.tooLarge
 
     /** Whether a transaction may be sent, whatever others have used of the write limit. */
     val mayWrite: Boolean get() = transactions.mayWrite
@@ -64,7 +64,7 @@
     /** Latency of answered requests other than watches, in milliseconds by percentile, for the status page. */
     fun latencyMs(): Map<String, Double> = statistics.latencyMs()
 
-    /** Sends the requests that are due: the next step towards serving or a renewal, then the watch and the catch-up. */
+    /** Sends the requests that are due: the next step towards isServing or a renewal, then the watch and the catch-up. */
     fun tick() {
         when (session.phase) {
             SessionPhase.LOADING -> if (session.maySetUp) snapshotLoader.load()
@@ -90,9 +90,4 @@
         changes: List<Write>,
         then: (TransactionResult) -> Unit,
     ) = transactions.transact(guards, changes, then)
-
-    companion object {
-        /** How long a lease lives without a renewal. */
-        const val LEASE_TTL: Micros = LeaseKeeper.LEASE_TTL
-    }
 }
--- a/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
@@ -39,7 +39,7 @@
         var now: Micros = 0
 
         val cache get() = context.cache
-        val serving get() = stateStore.serving
+        val serving get() = stateStore.isServing
 
         fun run(span: Micros) {
             val until = now + span
@@ -229,12 +229,12 @@
             assertEquals(NodeId("node-0"), claim.node)
             if (claim.lease == 999L) {
                 old++
-                assertFalse(controller.shardClaims.isMine(claim))
+                assertFalse(controller.shardClaims.isOwn(claim))
             }
         }
         assertTrue(old > 0, "the old claim was seen")
         val claim = controller.cache.claims.getValue(0)
-        assertTrue(controller.shardClaims.isMine(claim) && claim.version > 1, "$claim")
+        assertTrue(controller.shardClaims.isOwn(claim) && claim.version > 1, "$claim")
     }
 
     /** Nobody is cut off from anybody. */
--- a/src/test/kotlin/mintpick/sim/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/sim/StateStoreFaultCombinationsTest.kt
@@ -115,7 +115,7 @@
         Link().apply {
             (1..jobs).forEach { state.write(job(it)) }
             run(2 * SECOND)
-            assertTrue(link.serving)
+            assertTrue(link.isServing)
         }
 
     /** Has its watch refused as too old, so that it reads the records again. */
@@ -161,7 +161,7 @@
         controller.holds = { false }
         controller.release("/keys")
         controller.run(2 * SECOND)
-        assertTrue(controller.link.serving && controller.knowsAll(600))
+        assertTrue(controller.link.isServing && controller.knowsAll(600))
     }
 
     /** A lease that was found to be over made the controller follow, and forget, records that it was still reading. */
@@ -184,7 +184,7 @@
         controller.holds = { false }
         controller.release("/keys")
         controller.run(2 * SECOND)
-        assertTrue(controller.link.serving && controller.knowsAll(600))
+        assertTrue(controller.link.isServing && controller.knowsAll(600))
     }
 
     /** Its registration made a controller serve from the empty copy that it had just begun to fill. */
@@ -198,11 +198,11 @@
         controller.readAgain()
         controller.release("/multi")
         controller.run(SECOND / 10)
-        assertFalse(controller.link.serving && !controller.knowsAll(5))
+        assertFalse(controller.link.isServing && !controller.knowsAll(5))
         controller.holds = { false }
         controller.release("/keys")
         controller.run(2 * SECOND)
-        assertTrue(controller.link.serving && controller.knowsAll(5))
+        assertTrue(controller.link.isServing && controller.knowsAll(5))
     }
 
     /** A claim that had ended stood in the new copy again, because a commit from before it was answered late. */
@@ -217,7 +217,7 @@
         controller.state.write(Change(delete = Keys.shard(3)))
         controller.readAgain()
         controller.run(SECOND)
-        assertTrue(controller.link.serving)
+        assertTrue(controller.link.isServing)
         controller.release("/multi")
         controller.run(SECOND)
         assertEquals(null, controller.cache.claims[3])
@@ -234,11 +234,11 @@
         controller.release("/keys")
         controller.run(2 * SECOND)
         val isNew = { controller.cache.final(JobId("req-000001")) != null }
-        assertTrue(isNew() || !controller.link.serving)
+        assertTrue(isNew() || !controller.link.isServing)
         controller.holds = { false }
         controller.release("/follow")
         controller.run(6 * SECOND)
-        assertTrue(controller.link.serving && isNew())
+        assertTrue(controller.link.isServing && isNew())
     }
 
     /** PROTOCOL promises no order. A chunk that was told before its job was dropped, and its tasks were placed in vain for ever. */
@@ -267,7 +267,7 @@
         controller.run(5 * SECOND)
         controller.loses = { false }
         controller.run(5 * SECOND)
-        assertTrue(controller.link.serving && controller.knowsAll(600))
+        assertTrue(controller.link.isServing && controller.knowsAll(600))
         assertEquals(1, firstPages)
     }
 
--- a/src/test/kotlin/mintpick/sim/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/sim/UserRequestFaultCombinationsTest.kt
@@ -289,7 +289,7 @@
             answer("/leases", 200, """{"tenure":7}""")
             answer("/multi", 200, """{"ledger_rev":10}""")
             answer("wait_ms=0", 200, NOTHING_NEW)
-            assertTrue(stateStore.serving)
+            assertTrue(stateStore.isServing)
         }
     }
 
@@ -311,7 +311,7 @@
             script.page(2, more = false)
             assertTrue((1..2).all { script.context.cache.knows(JobId("req-$it")) }, "answered with $status")
             script.answer("wait_ms=0", 200, NOTHING_NEW)
-            assertTrue(script.stateStore.serving, "answered with $status")
+            assertTrue(script.stateStore.isServing, "answered with $status")
             assertEquals(listOf(false), caughtUp, "answered with $status")
         }
     }
@@ -324,9 +324,9 @@
         script.answer("/leases", 200, """{"tenure":7}""")
         script.answer("wait_ms=10000", 410, "{}")
         script.answer("/multi", 200, """{"ledger_rev":10}""")
-        assertFalse(script.stateStore.serving)
+        assertFalse(script.stateStore.isServing)
         script.page(1, more = false)
-        assertTrue(script.stateStore.serving)
+        assertTrue(script.stateStore.isServing)
     }
 
     /** The late answer to the write of a submission once made its user hear `queued` of a job known here as cancelled. */
