--- a/src/test/kotlin/mintpick/config/SettingsTest.kt
+++ b/src/test/kotlin/mintpick/config/SettingsTest.kt
@@ -1,7 +1,7 @@
 package mintpick.config
 
-import mintpick.Samples
 import mintpick.core.SECOND
+import mintpick.testing.SampleJobs
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -12,7 +12,7 @@
 class SettingsTest {
     @Test
     fun `the platform's file is read, unknown fields and all`() {
-        val settings = Settings.parse(Samples.toml(1))
+        val settings = Settings.parse(SampleJobs.toml(1))
         assertEquals("node-1", settings.node)
         assertEquals(listOf("node-0", "node-2"), settings.peers.map { it.node })
         assertEquals(18 * SECOND, settings.leaseUs)
@@ -20,7 +20,7 @@
     }
 
     private val withNext =
-        Samples.toml().replace(
+        SampleJobs.toml().replace(
             "[settings.cloud]",
             "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 50\n\n[settings.cloud]",
         )
@@ -30,7 +30,7 @@
         val settings = Settings.parse(withNext)
         assertEquals(PlatformFile.State(rps = 100.0, writeRps = 40.0, valueKb = 2.0, transactionOps = 16), settings.limits)
         assertEquals(32.0, settings.valueKbAtStart)
-        val plain = Settings.parse(Samples.toml())
+        val plain = Settings.parse(SampleJobs.toml())
         assertEquals(32.0 to 32.0, plain.limits.valueKb to plain.valueKbAtStart)
     }
 
@@ -52,7 +52,7 @@
     fun `a fault ends in one line that names the field`() =
         faults.map { (field, fault) ->
             DynamicTest.dynamicTest(field) {
-                val error = assertThrows(ConfigException::class.java) { Settings.parse(fault(Samples.toml())) }
+                val error = assertThrows(ConfigException::class.java) { Settings.parse(fault(SampleJobs.toml())) }
                 assertTrue(field in error.message.orEmpty(), error.message)
                 assertEquals(
                     1,
--- a/src/test/kotlin/mintpick/core/FairShareTest.kt
+++ b/src/test/kotlin/mintpick/core/FairShareTest.kt
@@ -1,6 +1,6 @@
 package mintpick.core
 
-import mintpick.Samples
+import mintpick.testing.SampleJobs
 import mintpick.wire.JobKind
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -67,9 +67,9 @@
     @Test
     fun `a minimum runtime is never below the image fetch nor above the cap`() {
         val cap = 600 * SECOND
-        assertEquals(10 * SECOND, Contract.minimumRuntime(Samples.spec(estimateS = 10.0), 2 * SECOND, cap))
-        assertEquals(20 * SECOND, Contract.minimumRuntime(Samples.spec(estimateS = 10.0), 20 * SECOND, cap))
-        assertEquals(cap, Contract.minimumRuntime(Samples.spec(estimateS = 9000.0), SECOND, cap))
-        assertEquals(cap, Contract.minimumRuntime(Samples.spec(kind = JobKind.SERVICE), SECOND, cap))
+        assertEquals(10 * SECOND, Contract.minimumRuntime(SampleJobs.spec(estimateS = 10.0), 2 * SECOND, cap))
+        assertEquals(20 * SECOND, Contract.minimumRuntime(SampleJobs.spec(estimateS = 10.0), 20 * SECOND, cap))
+        assertEquals(cap, Contract.minimumRuntime(SampleJobs.spec(estimateS = 9000.0), SECOND, cap))
+        assertEquals(cap, Contract.minimumRuntime(SampleJobs.spec(kind = JobKind.SERVICE), SECOND, cap))
     }
 }
--- a/src/test/kotlin/mintpick/core/PlacerTest.kt
+++ b/src/test/kotlin/mintpick/core/PlacerTest.kt
@@ -1,6 +1,6 @@
 package mintpick.core
 
-import mintpick.Samples
+import mintpick.testing.SampleJobs
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -29,7 +29,7 @@
         repeat(400) { round ->
             val rooms = rooms(random)
             val spec =
-                Samples.spec(
+                SampleJobs.spec(
                     tasks = random.nextInt(1, 12),
                     spot = random.nextBoolean(),
                     spread = round % 3 == 0,
@@ -63,7 +63,7 @@
                 mintpick.wire.MachineType("cheap", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north", "south")),
             ).associateBy { it.name }
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north", "south")) { true }
-        val spot = scaleOutPlanner.plan(emptyList(), listOf(CapacityDemand(Samples.spec(cpus = 4.0), 4)), 10)
+        val spot = scaleOutPlanner.plan(emptyList(), listOf(CapacityDemand(SampleJobs.spec(cpus = 4.0), 4)), 10)
         assertEquals(
             setOf("cheap" to true),
             spot.newMachines.keys
@@ -74,7 +74,7 @@
         val spread =
             scaleOutPlanner.plan(
                 emptyList(),
-                listOf(CapacityDemand(Samples.spec(cpus = 1.0, tasks = 2, spot = false, spread = true), 2)),
+                listOf(CapacityDemand(SampleJobs.spec(cpus = 1.0, tasks = 2, spot = false, spread = true), 2)),
                 10,
             )
         assertEquals(
@@ -95,12 +95,12 @@
         val total = Resources(8.0, 0.0, 32.0)
         val full = Room(MachineId("m"), "small", "north", false, Resources.ZERO, total, { false }, true, yielding = total)
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { true }
-        val service = CapacityDemand(Samples.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
+        val service = CapacityDemand(SampleJobs.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
         assertEquals(emptyMap<Offer, Int>(), scaleOutPlanner.plan(listOf(full), listOf(service), 5).newMachines)
         assertEquals(
             1,
             scaleOutPlanner
-                .plan(listOf(full), listOf(CapacityDemand(Samples.spec(cpus = 1.0), 3)), 5)
+                .plan(listOf(full), listOf(CapacityDemand(SampleJobs.spec(cpus = 1.0), 3)), 5)
                 .newMachines.values
                 .sum(),
         )
@@ -118,7 +118,7 @@
         val total = Resources(8.0, 0.0, 32.0)
         val rooms = listOf(true, false).map { spot -> Room(MachineId("spot-$spot"), "small", "north", spot, total, total, { false }, true) }
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { false }
-        val spec = Samples.spec(cpus = 4.0)
+        val spec = SampleJobs.spec(cpus = 4.0)
         assertEquals(
             setOf(MachineId("spot-false")),
             scaleOutPlanner.plan(rooms, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false, keepsToSpot = true)), 5).unusedMachines,
@@ -138,7 +138,7 @@
                 val zone = if (it < 60) "north" else "south"
                 Room(MachineId("m$it"), "large", zone, false, if (it < 60) total * 0.5 else total, total, { false }, true)
             }
-        val spec = Samples.spec(tasks = 4, cpus = 1.0, spot = false, spread = true)
+        val spec = SampleJobs.spec(tasks = 4, cpus = 1.0, spot = false, spread = true)
         for (perZone in listOf(mapOf("north" to 2), emptyMap())) {
             val tasks = (perZone.values.sum() until spec.tasks).asSequence()
             val placed = Placer(SplittableRandom(1), 32).place(spec, tasks, Placer.Rooms.of(rooms), perZone, 4)
--- a/src/test/kotlin/mintpick/differential/ComparedController.kt
+++ b/src/test/kotlin/mintpick/differential/ComparedController.kt
@@ -4,7 +4,7 @@
 import mintpick.engine.runtime.Effect
 import mintpick.engine.runtime.Event
 import mintpick.engine.runtime.ReplyTo
-import mintpick.sim.World
+import mintpick.testing.SimulatedCluster
 import java.util.SplittableRandom
 
 /**
@@ -12,11 +12,11 @@
  * difference of its life on, [base] stands still: it would get answers to calls that it never made.
  */
 internal class ComparedController(
-    private val base: World.Controller,
-    private val present: World.Controller,
+    private val base: SimulatedCluster.Controller,
+    private val present: SimulatedCluster.Controller,
     private val comparison: Comparison,
     private val name: String,
-) : World.Controller {
+) : SimulatedCluster.Controller {
     private class Logged(
         val step: Long,
         val now: Micros,
--- a/src/test/kotlin/mintpick/differential/DifferentialReportTest.kt
+++ b/src/test/kotlin/mintpick/differential/DifferentialReportTest.kt
@@ -7,8 +7,8 @@
 import mintpick.engine.runtime.Event
 import mintpick.net.Answer
 import mintpick.net.Call
-import mintpick.sim.World
-import mintpick.sim.playDrawnDay
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.playRandomFaultDay
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -18,10 +18,10 @@
 class DifferentialReportTest {
     /** An engine whose effects [alter] changes in its first step from [from] on that has such as it wants. */
     private class Altered(
-        private val engine: World.Controller,
+        private val engine: SimulatedCluster.Controller,
         private val from: Int,
         private val alter: (List<Effect>) -> List<Effect>?,
-    ) : World.Controller {
+    ) : SimulatedCluster.Controller {
         private var step = 0L
         var alteredIn: Long? = null
             private set
@@ -47,17 +47,17 @@
     }
 
     private fun engine(
-        node: World.Node,
+        node: SimulatedCluster.Node,
         seed: Long,
-    ) = World.Controller(Engine(node.settings, Operators(), SplittableRandom(seed))::step)
+    ) = SimulatedCluster.Controller(Engine(node.settings, Operators(), SplittableRandom(seed))::step)
 
     /** A short drawn day on which the first life of one controller is altered. */
     private fun play(alter: (List<Effect>) -> List<Effect>?): Found {
         val comparison = Comparison("drawn day $SEED")
         lateinit var altered: Altered
-        playDrawnDay(SEED) { world ->
-            world.controllerOf = { node ->
-                val seed = world.random.nextLong()
+        playRandomFaultDay(SEED) { cluster ->
+            cluster.controllerOf = { node ->
+                val seed = cluster.random.nextLong()
                 val name = comparison.begin(node.index)
                 val present = engine(node, seed)
                 val shown = if (name == ALTERED) Altered(present, FROM, alter).also { altered = it } else present
@@ -138,8 +138,8 @@
 
     @Test
     fun `what only one of them throws is found`() {
-        val quiet = World.Controller { _, _, _ -> emptyList() }
-        val throwing = World.Controller { _, _, _ -> error("planted") }
+        val quiet = SimulatedCluster.Controller { _, _, _ -> emptyList() }
+        val throwing = SimulatedCluster.Controller { _, _, _ -> error("planted") }
         val comparison = Comparison("by hand")
         assertEquals(emptyList<Effect>(), ComparedController(throwing, quiet, comparison, "node-0 life 1").step(1, 1, emptyList()))
         assertTrue("base:    threw java.lang.IllegalStateException: planted" in comparison.differences.single().report())
--- a/src/test/kotlin/mintpick/differential/DifferentialTest.kt
+++ b/src/test/kotlin/mintpick/differential/DifferentialTest.kt
@@ -1,13 +1,13 @@
 package mintpick.differential
 
-import mintpick.Samples
 import mintpick.config.Operators
 import mintpick.engine.Engine
-import mintpick.sim.FleetLimits
-import mintpick.sim.World
-import mintpick.sim.largeFleetToml
-import mintpick.sim.playDrawnDay
-import mintpick.sim.playLargeFleetDay
+import mintpick.testing.FleetLimits
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.largeFleetToml
+import mintpick.testing.playLargeFleetDay
+import mintpick.testing.playRandomFaultDay
 import mintpick.upgrade.EngineVersion
 import mintpick.upgrade.RollingUpgrade
 import mintpick.upgrade.UPGRADE_LUCK
@@ -33,12 +33,14 @@
     private val loadedPresent by lazy { EngineVersion(Path.of("target/classes")) }
 
     private fun Comparison.compared(
-        world: World,
-        node: World.Node,
+        cluster: SimulatedCluster,
+        node: SimulatedCluster.Node,
         toml: String,
-        present: (SplittableRandom) -> World.Controller = { World.Controller(Engine(node.settings, Operators(), it)::step) },
-    ): World.Controller {
-        val seed = world.random.nextLong()
+        present: (
+            SplittableRandom,
+        ) -> SimulatedCluster.Controller = { SimulatedCluster.Controller(Engine(node.settings, Operators(), it)::step) },
+    ): SimulatedCluster.Controller {
+        val seed = cluster.random.nextLong()
         val earlier = VersionedEngine(base, toml, SplittableRandom(seed), baseCost)
         return ComparedController(earlier, present(SplittableRandom(seed)), this, begin(node.index))
     }
@@ -46,15 +48,16 @@
     /** The day's own breaches of rules are other tests' concern. */
     private fun drawnDay(seed: Long): Comparison {
         val comparison = Comparison("drawn day $seed")
-        playDrawnDay(seed) { world ->
-            world.controllerOf = { node -> comparison.compared(world, node, Samples.toml(node.index)) }
+        playRandomFaultDay(seed) { cluster ->
+            cluster.controllerOf = { node -> comparison.compared(cluster, node, SampleJobs.toml(node.index)) }
         }
         return comparison
     }
 
     private fun upgradeDay(seed: Long): Comparison {
         val comparison = Comparison("upgrade day $seed")
-        val roll = RollingUpgrade(seed, UPGRADE_LUCK) { world, node -> comparison.compared(world, node, RollingUpgrade.toml(node.index)) }
+        val roll =
+            RollingUpgrade(seed, UPGRADE_LUCK) { cluster, node -> comparison.compared(cluster, node, RollingUpgrade.toml(node.index)) }
         playUpgradeDay(seed, roll)
         return comparison
     }
@@ -62,10 +65,10 @@
     private fun largeFleetDay(): Comparison {
         val comparison = Comparison("day of 1000 machines")
         val limits = FleetLimits(valueKb = 16, changesPerSecond = 25.0)
-        playLargeFleetDay(1000, limits) { world ->
-            world.controllerOf = { node ->
+        playLargeFleetDay(1000, limits) { cluster ->
+            cluster.controllerOf = { node ->
                 val toml = largeFleetToml(node.index, limits)
-                comparison.compared(world, node, toml) { VersionedEngine(loadedPresent, toml, it, comparison.presentCost) }
+                comparison.compared(cluster, node, toml) { VersionedEngine(loadedPresent, toml, it, comparison.presentCost) }
             }
         }
         return comparison
--- a/src/test/kotlin/mintpick/engine/EventLoopTest.kt
+++ b/src/test/kotlin/mintpick/engine/EventLoopTest.kt
@@ -1,12 +1,12 @@
 package mintpick.engine
 
-import mintpick.Samples
 import mintpick.config.Operators
 import mintpick.core.JobId
 import mintpick.core.SECOND
 import mintpick.engine.runtime.Event
 import mintpick.net.Answer
 import mintpick.net.Call
+import mintpick.testing.SampleJobs
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
@@ -22,7 +22,7 @@
     private val jumpUs = AtomicLong(0)
     private val calls = AtomicInteger()
     private val answers = LinkedBlockingQueue<Answer>()
-    private val engine = Engine(Samples.settings(), Operators(), SplittableRandom(1))
+    private val engine = Engine(SampleJobs.settings(), Operators(), SplittableRandom(1))
     private val eventLoop =
         EventLoop(engine, { _: Long, _: Call -> calls.incrementAndGet() }, { clockUs.getAndAdd(jumpUs.get()) }, { clockUs.get() })
 
--- a/src/test/kotlin/mintpick/engine/capacity/ClassDemandTest.kt
+++ b/src/test/kotlin/mintpick/engine/capacity/ClassDemandTest.kt
@@ -1,12 +1,12 @@
 package mintpick.engine.capacity
 
-import mintpick.Samples
 import mintpick.core.SECOND
+import mintpick.testing.SampleJobs
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
 class ClassDemandTest {
-    private val demand = ClassDemand(Samples.spec(tasks = 2))
+    private val demand = ClassDemand(SampleJobs.spec(tasks = 2))
 
     @Test
     fun `the peak is forgotten once it is older than the memory, the current demand is the latest sample`() {
@@ -23,10 +23,10 @@
 
     @Test
     fun `the largest job counts up to a bound and the latest job describes the class`() {
-        demand.observeJob(Samples.spec(tasks = 7, cpus = 1.0))
+        demand.observeJob(SampleJobs.spec(tasks = 7, cpus = 1.0))
         assertEquals(7, demand.largestJobTasks)
-        demand.observeJob(Samples.spec(tasks = 100, cpus = 2.0))
-        demand.observeJob(Samples.spec(tasks = 3, cpus = 4.0))
+        demand.observeJob(SampleJobs.spec(tasks = 100, cpus = 2.0))
+        demand.observeJob(SampleJobs.spec(tasks = 3, cpus = 4.0))
         assertEquals(16, demand.largestJobTasks)
         assertEquals(4.0, demand.spec.cpus)
     }
--- a/src/test/kotlin/mintpick/engine/capacity/DemandMergingTest.kt
+++ b/src/test/kotlin/mintpick/engine/capacity/DemandMergingTest.kt
@@ -1,7 +1,7 @@
 package mintpick.engine.capacity
 
-import mintpick.Samples
 import mintpick.core.CapacityDemand
+import mintpick.testing.SampleJobs
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
@@ -13,7 +13,12 @@
         oneZone: Boolean = false,
         perZone: Map<String, Int> = emptyMap(),
         keepsToSpot: Boolean = false,
-    ) = CapacityDemand(Samples.spec(tasks = count, cpus = cpus, oneZone = oneZone).copy(id = id), count, perZone, keepsToSpot = keepsToSpot)
+    ) = CapacityDemand(
+        SampleJobs.spec(tasks = count, cpus = cpus, oneZone = oneZone).copy(id = id),
+        count,
+        perZone,
+        keepsToSpot = keepsToSpot,
+    )
 
     private fun merged(vararg demands: CapacityDemand): List<String> =
         mergeDemands(demands.toList()).map { "${it.spec.id}:${it.spec.tasks}:${it.count}" }
--- a/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
@@ -1,6 +1,5 @@
 package mintpick.engine.membership
 
-import mintpick.Samples
 import mintpick.core.JobId
 import mintpick.core.MILLI
 import mintpick.core.Micros
@@ -11,8 +10,9 @@
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.StateStoreClient
 import mintpick.net.Outcome
-import mintpick.sim.SimState
 import mintpick.store.Keys
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedStateStore
 import mintpick.wire.Change
 import mintpick.wire.ClaimRecord
 import mintpick.wire.PeerHint
@@ -27,9 +27,9 @@
 /** One controller's parts that judge its own health, before a stand-in of the state service. */
 class ControllerHealthTest {
     private class Controller(
-        val state: SimState = SimState(),
+        val state: SimulatedStateStore = SimulatedStateStore(),
     ) {
-        private val context = EngineContext(Samples.settings(0), SplittableRandom(1))
+        private val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
         private val stateStore = StateStoreClient(context, FormatGate(context))
         val shardClaims = ShardClaims(context, stateStore, FullContact)
         val health = ControllerHealth(context, stateStore)
@@ -134,7 +134,7 @@
     }
 
     private fun assertLetGoInTime(answeredUntil: Micros) {
-        val settings = Samples.settings(0)
+        val settings = SampleJobs.settings(0)
         assertTrue(answeredUntil > settings.leaseUs, "$answeredUntil")
         assertTrue(answeredUntil + settings.leaseUs < settings.cancelUs, "$answeredUntil and a lease are within ${settings.cancelUs}")
     }
@@ -166,7 +166,7 @@
     /** An answer accounts for what was confirmed before its question left, whenever it comes. */
     @Test
     fun `an account of cancellations is as old as the question`() {
-        val settings = Samples.settings(0)
+        val settings = SampleJobs.settings(0)
         val controller = cutOff()
         controller.run(10 * SECOND)
         controller.hearAnswer("node-1", 10 * SECOND, agoUs = 5 * SECOND)
@@ -200,7 +200,7 @@
     /** A cancellation that we could not hear of must still be in time: the leases lapse before `cancel_s` is over. */
     @Test
     fun `workers are let go in time for a cancellation that could not be heard of`() {
-        val settings = Samples.settings(0)
+        val settings = SampleJobs.settings(0)
         val controller = cutOff()
         var answeredUntil: Micros = 0
         val from = controller.now
@@ -218,7 +218,7 @@
      */
     @Test
     fun `a claim of an earlier process under our name is not ours until it is written anew`() {
-        val state = SimState()
+        val state = SimulatedStateStore()
         val record = WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord("node-0", 999))
         state.transact(Transaction(emptyList(), listOf(Change(put = Keys.shard(0), value = record))))
         val controller = Controller(state)
--- a/src/test/kotlin/mintpick/sim/BacklogTest.kt
+++ b/src/test/kotlin/mintpick/simulation/BacklogTest.kt
@@ -1,25 +1,29 @@
-package mintpick.sim
+package mintpick.simulation
 
-import mintpick.Samples
 import mintpick.config.Settings
 import mintpick.core.SECOND
+import mintpick.testing.ClusterSize
+import mintpick.testing.FaultRates
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.assertRulesHeld
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
 /** More work waits than there is room for, and the limit on writes to the state service is what holds it up. */
 class BacklogTest {
-    private fun world(
+    private fun cluster(
         seed: Long,
         writesPerSecond: Double,
-    ) = World(seed, FaultRates(), Size(machines = MACHINES)) { index ->
-        Settings.parse(Samples.toml(index).replace("write_rps = 40.0", "write_rps = $writesPerSecond"))
+    ) = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = MACHINES)) { index ->
+        Settings.parse(SampleJobs.toml(index).replace("write_rps = 40.0", "write_rps = $writesPerSecond"))
     }
 
-    private fun World.empty(): Int = workers.keys.count { rules.attemptsOn(it).isEmpty() }
+    private fun SimulatedCluster.empty(): Int = workers.keys.count { rules.attemptsOn(it).isEmpty() }
 
     /** Empty machines in each of the next seconds. */
-    private fun World.emptyEachSecond(): List<Int> =
+    private fun SimulatedCluster.emptyEachSecond(): List<Int> =
         List(30) {
             run(now + SECOND)
             empty()
@@ -29,18 +33,18 @@
     private fun fullFleet(
         seed: Long,
         writesPerSecond: Double = 12.0,
-    ): World {
-        val world = world(seed, writesPerSecond)
+    ): SimulatedCluster {
+        val cluster = cluster(seed, writesPerSecond)
         (1..JOBS).forEach { n ->
             val submittedS = n / 6.0
-            val spec = Samples.spec("req-%06d".format(n), team = "blue", cpus = 4.0, tasks = 1, estimateS = JOBS_END_S - submittedS)
-            world.after((submittedS * SECOND).toLong()) { world.user(spec, null) }
+            val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", cpus = 4.0, tasks = 1, estimateS = JOBS_END_S - submittedS)
+            cluster.after((submittedS * SECOND).toLong()) { cluster.user(spec, null) }
         }
         (1..LARGE_JOBS).forEach { n ->
-            val spec = Samples.spec("req-%06d".format(1000 + n), team = "blue", cpus = 4.0, tasks = 40, estimateS = 30.0)
-            world.after(60 * SECOND + n) { world.user(spec, null) }
+            val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", cpus = 4.0, tasks = 40, estimateS = 30.0)
+            cluster.after(60 * SECOND + n) { cluster.user(spec, null) }
         }
-        return world
+        return cluster
     }
 
     /**
@@ -51,12 +55,12 @@
     fun `machines do not stay empty beside waiting tasks while many ends of jobs are written`() {
         val empty =
             (81L..84L).map { seed ->
-                val world = fullFleet(seed)
-                world.run(JOBS_END_S.toLong() * SECOND)
-                assertEquals(0, world.empty(), "the fleet is full")
-                val emptyEachSecond = world.emptyEachSecond()
+                val cluster = fullFleet(seed)
+                cluster.run(JOBS_END_S.toLong() * SECOND)
+                assertEquals(0, cluster.empty(), "the fleet is full")
+                val emptyEachSecond = cluster.emptyEachSecond()
                 assertTrue(emptyEachSecond.max() > MACHINES / 4, "jobs end faster than others can be placed: $emptyEachSecond")
-                world.assertRulesHeld()
+                cluster.assertRulesHeld()
                 emptyEachSecond.sum()
             }
         assertTrue(empty.sum() < MACHINES * 11 / 2 * empty.size, "$empty seconds of empty machines")
@@ -70,13 +74,13 @@
     fun `transactions whose answers are lost hold up no others`() {
         val empty =
             (83L..84L).sumOf { seed ->
-                val world = fullFleet(seed, writesPerSecond = 60.0)
-                world.run(JOBS_END_S.toLong() * SECOND)
-                assertEquals(0, world.empty(), "the fleet is full")
-                world.stateTroubles.lost = 450
-                val emptyEachSecond = world.emptyEachSecond()
-                assertTrue(world.stateTroubles.carriedOut().isNotEmpty(), "some were carried out late")
-                world.assertRulesHeld()
+                val cluster = fullFleet(seed, writesPerSecond = 60.0)
+                cluster.run(JOBS_END_S.toLong() * SECOND)
+                assertEquals(0, cluster.empty(), "the fleet is full")
+                cluster.stateStoreFaults.lost = 450
+                val emptyEachSecond = cluster.emptyEachSecond()
+                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "some were carried out late")
+                cluster.assertRulesHeld()
                 emptyEachSecond.sum()
             }
         assertTrue(empty < MACHINES * 8, "$empty seconds of empty machines")
--- a/src/test/kotlin/mintpick/sim/GrowthTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GrowthTest.kt
@@ -1,7 +1,11 @@
-package mintpick.sim
+package mintpick.simulation
 
-import mintpick.Samples
 import mintpick.core.SECOND
+import mintpick.testing.ClusterSize
+import mintpick.testing.FaultRates
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.assertRulesHeld
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.DynamicTest
@@ -19,26 +23,26 @@
         (52L..54L).map { seed -> DynamicTest.dynamicTest("seed $seed") { machinesGoAfterBacklog(seed) } }
 
     private fun machinesGoAfterBacklog(seed: Long) {
-        val world = World(seed, FaultRates(), Size(machines = 400, spot = 40)) { Samples.settings(it) }
+        val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 400, spot = 40)) { SampleJobs.settings(it) }
         (1..40).forEach { n ->
-            world.user(Samples.spec("req-%06d".format(n), team = "blue", tasks = 40, cpus = 2.0, estimateS = 20.0), null)
+            cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 40, cpus = 2.0, estimateS = 20.0), null)
         }
         var most = 0
         for (second in 10..60) {
-            world.run(second * SECOND)
-            most = maxOf(most, world.workers.values.count { !it.spot })
+            cluster.run(second * SECOND)
+            most = maxOf(most, cluster.workers.values.count { !it.spot })
         }
         assertTrue(most > 250, "$most ordinary machines for the backlog")
         // One or two that booted last may still be under way.
-        assertTrue(world.workers.values.count { !it.spot } < 4, "ordinary machines left")
-        world.run(64 * SECOND)
-        assertEquals(0, world.workers.values.count { !it.spot }, "ordinary machines left")
-        world.assertRulesHeld()
+        assertTrue(cluster.workers.values.count { !it.spot } < 4, "ordinary machines left")
+        cluster.run(64 * SECOND)
+        assertEquals(0, cluster.workers.values.count { !it.spot }, "ordinary machines left")
+        cluster.assertRulesHeld()
     }
 
     @Test
     fun `a thousand machines and hundreds of jobs stay within the state service's limits`() {
-        val world = World(51, FaultRates(), Size(machines = 1000)) { Samples.settings(it) }
+        val cluster = SimulatedCluster(51, FaultRates(), ClusterSize(machines = 1000)) { SampleJobs.settings(it) }
         val services = 120
         val arrays = 240
         var tasks = 0
@@ -46,33 +50,33 @@
             val size = 4 + n % 6
             tasks += size
             val spec =
-                Samples.service(n, team = "blue", tasks = size, spread = true)
-            world.after(n * SECOND / 8) { world.user(spec, null) }
+                SampleJobs.service(n, team = "blue", tasks = size, spread = true)
+            cluster.after(n * SECOND / 8) { cluster.user(spec, null) }
         }
         (1..arrays).forEach { n ->
             val size = 20 + n * 7 % 90
             tasks += size
-            val spec = Samples.spec("req-%06d".format(1000 + n), team = "blue", tasks = size, cpus = 4.0, estimateS = 10.0)
-            world.after(n * SECOND / 4) { world.user(spec, null) }
+            val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", tasks = size, cpus = 4.0, estimateS = 10.0)
+            cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
         }
-        world.run(110 * SECOND)
+        cluster.run(110 * SECOND)
         val jobs = services + arrays
-        world.assertRulesHeld()
-        assertTrue(world.workers.size > 500, "${world.workers.size} machines")
-        assertTrue(world.rules.starts >= tasks * 9 / 10, "${world.rules.starts} of $tasks tasks started")
+        cluster.assertRulesHeld()
+        assertTrue(cluster.workers.size > 500, "${cluster.workers.size} machines")
+        assertTrue(cluster.rules.starts >= tasks * 9 / 10, "${cluster.rules.starts} of $tasks tasks started")
         // Stored, placed and finished, with some parts while writes abound: a handful for each job, whatever its tasks
         // (there are over forty on average).
-        val writes = world.state.writes
-        val byKind = world.state.writesByKind
+        val writes = cluster.state.writes
+        val byKind = cluster.state.writesByKind
         assertTrue((byKind["j"] ?: 0) + (byKind["k"] ?: 0) < jobs * 8, "$byKind")
         // One record for each part, not for each machine.
-        assertTrue((byKind["f"] ?: 0) < world.workers.size / 4, "$byKind for ${world.workers.size} machines")
+        assertTrue((byKind["f"] ?: 0) < cluster.workers.size / 4, "$byKind for ${cluster.workers.size} machines")
         assertTrue(writes < 110 * 40, "$writes writes in 110 s")
-        assertTrue(world.state.requests < 110 * 100, "${world.state.requests} requests in 110 s")
-        assertTrue(world.state.bytesWritten < 25_000L * jobs, "${world.state.bytesWritten} bytes")
+        assertTrue(cluster.state.requests < 110 * 100, "${cluster.state.requests} requests in 110 s")
+        assertTrue(cluster.state.bytesWritten < 25_000L * jobs, "${cluster.state.bytesWritten} bytes")
         // Starts go out together with others for the same machine, and what is only to be forgotten waits for a report.
-        val calls = world.nodes.sumOf { it.calls }
-        assertTrue(calls < 3L * world.rules.starts, "$calls calls for ${world.rules.starts} starts")
+        val calls = cluster.nodes.sumOf { it.calls }
+        assertTrue(calls < 3L * cluster.rules.starts, "$calls calls for ${cluster.rules.starts} starts")
     }
 
     private class Counts(
@@ -87,40 +91,45 @@
      * all controllers back within a moment. What that costs for each start must not grow with the fleet.
      */
     private fun worst(machines: Int): Counts {
-        val world = World(53, FaultRates(), Size(machines = machines)) { Samples.settings(it) }
+        val cluster = SimulatedCluster(53, FaultRates(), ClusterSize(machines = machines)) { SampleJobs.settings(it) }
         val services = machines / 20
         (1..services).forEach { n ->
             val spec =
-                Samples.service(n, team = "blue", tasks = 4, cpus = 2.0)
-            world.after(n * 15 * SECOND / services) { world.user(spec, null) }
+                SampleJobs.service(n, team = "blue", tasks = 4, cpus = 2.0)
+            cluster.after(n * 15 * SECOND / services) { cluster.user(spec, null) }
         }
         (1..4).forEach { round ->
             (1..machines / 60).forEach { n ->
-                val spec = Samples.spec("req-%06d".format(round * 1000 + n), team = "blue", tasks = 70, cpus = 4.0, estimateS = 18.0)
-                world.after((round * 20L - 15) * SECOND + n * SECOND / 5) { world.user(spec, null) }
+                val spec = SampleJobs.spec("req-%06d".format(round * 1000 + n), team = "blue", tasks = 70, cpus = 4.0, estimateS = 18.0)
+                cluster.after((round * 20L - 15) * SECOND + n * SECOND / 5) { cluster.user(spec, null) }
             }
         }
         val most = ArrayList<Int>()
         listOf(45L, 60L).forEach { at ->
-            world.after(at * SECOND) {
-                most += world.workers.size
-                world.workers.keys
+            cluster.after(at * SECOND) {
+                most += cluster.workers.size
+                cluster.workers.keys
                     .filterIndexed { i, _ -> i % 8 == 0 }
-                    .forEach(world::remove)
+                    .forEach(cluster::remove)
             }
         }
-        world.after(75 * SECOND) { world.zoneOut = "south" }
-        world.after(100 * SECOND) { world.zoneOut = null }
-        world.after(115 * SECOND) { world.nodes.forEach { it.crash(SECOND / 3) } }
-        world.run(140 * SECOND)
-        world.assertRulesHeld()
+        cluster.after(75 * SECOND) { cluster.zoneOut = "south" }
+        cluster.after(100 * SECOND) { cluster.zoneOut = null }
+        cluster.after(115 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } }
+        cluster.run(140 * SECOND)
+        cluster.assertRulesHeld()
         val running =
             (1..services).sumOf { n ->
-                world.workers.values.sumOf { w -> world.rules.attemptsOn(w.id).count { it.startsWith("req-%06d/".format(n)) } }
+                cluster.workers.values.sumOf { w -> cluster.rules.attemptsOn(w.id).count { it.startsWith("req-%06d/".format(n)) } }
             }
         assertTrue(running >= services * 4 * 99 / 100, "$running of ${services * 4} replicas run")
-        val starts = world.rules.starts.toDouble()
-        return Counts(most.max(), world.state.writes / starts, world.nodes.sumOf { it.calls } / starts, world.state.bytesWritten / starts)
+        val starts = cluster.rules.starts.toDouble()
+        return Counts(
+            most.max(),
+            cluster.state.writes / starts,
+            cluster.nodes.sumOf { it.calls } / starts,
+            cluster.state.bytesWritten / starts,
+        )
     }
 
     @Test
--- a/src/test/kotlin/mintpick/sim/LargeFleetTest.kt
+++ b/src/test/kotlin/mintpick/simulation/LargeFleetTest.kt
@@ -1,5 +1,8 @@
-package mintpick.sim
+package mintpick.simulation
 
+import mintpick.testing.FleetCosts
+import mintpick.testing.FleetLimits
+import mintpick.testing.playLargeFleetDay
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
--- /dev/null
+++ b/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
@@ -0,0 +1,52 @@
+package mintpick.simulation
+
+import mintpick.core.MILLI
+import mintpick.core.SECOND
+import mintpick.testing.ClusterSize
+import mintpick.testing.FaultRates
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.assertRulesHeld
+import mintpick.testing.leader
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertNotEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.DynamicTest
+import org.junit.jupiter.api.TestFactory
+
+/** Machines that boot at once meet writes that lag and the end of the leader. */
+class QuickBootTest {
+    /** Machines are up within two seconds and get work while writes are carried out late, and the leader ends. */
+    @TestFactory
+    fun `machines that are up at once finish their work while writes lag and the leader ends`() =
+        (41L..46L).map { seed ->
+            DynamicTest.dynamicTest("seed $seed") {
+                val cluster =
+                    SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 12, boots = SECOND..2 * SECOND)) { SampleJobs.settings(it) }
+                cluster.run(20 * SECOND)
+                val before = cluster.workers.keys.toSet()
+                cluster.stateStoreFaults.lost = 250
+                val jobs = (1..16).map { n -> SampleJobs.spec("req-%06d".format(n), "blue", 2, cpus = 3.0, estimateS = 8.0) }
+                jobs.forEachIndexed { n, job -> cluster.after(n * SECOND / 8) { cluster.user(job, null) } }
+                val leader = cluster.leader()
+                cluster.after(4 * SECOND) { leader.crash(12 * SECOND) }
+                val given = HashSet<String>()
+                (1..60).forEach { n ->
+                    cluster.after(n * 250 * MILLI) {
+                        given += cluster.rules.running.values
+                            .map { it.machine } - before
+                    }
+                }
+                cluster.run(36 * SECOND)
+                val next = cluster.leader()
+                cluster.stateStoreFaults.lost = 0
+                cluster.rules.calmSinceUs = cluster.now + 12 * SECOND
+                cluster.run(90 * SECOND)
+                assertTrue(given.isNotEmpty(), "no new machine got work")
+                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "no write was carried out late")
+                assertNotEquals(leader.settings.node, next.settings.node)
+                assertEquals(emptyList<String>(), jobs.map { it.id }.filter { !cluster.rules.isFinal(it) }, "not ended")
+                cluster.assertRulesHeld()
+            }
+        }
+}
--- a/src/test/kotlin/mintpick/sim/RandomFaultsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/RandomFaultsTest.kt
@@ -1,5 +1,6 @@
-package mintpick.sim
+package mintpick.simulation
 
+import mintpick.testing.playRandomFaultDay
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import java.util.TreeMap
@@ -18,12 +19,12 @@
             (first until first + count)
                 .toList()
                 .parallelStream()
-                .map { playDrawnDay(it) }
+                .map { playRandomFaultDay(it) }
                 .toList()
-        val kinds = days.flatMap { it.troubles }.groupingBy { it }.eachCountTo(TreeMap())
+        val kinds = days.flatMap { it.faults }.groupingBy { it }.eachCountTo(TreeMap())
         println("drawn days: ${days.size} from seed $first on, starts: ${days.sumOf { it.starts }}, troubles: $kinds")
         val broken = days.filter { it.breaches.isNotEmpty() }
-        assertEquals(emptyList<String>(), broken.map { "seed ${it.seed} with ${it.troubles}: ${it.breaches}" })
+        assertEquals(emptyList<String>(), broken.map { "seed ${it.seed} with ${it.faults}: ${it.breaches}" })
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/sim/RulesTest.kt
+++ b/src/test/kotlin/mintpick/simulation/RuleCheckerTest.kt
@@ -1,7 +1,8 @@
-package mintpick.sim
+package mintpick.simulation
 
-import mintpick.Samples
 import mintpick.core.SECOND
+import mintpick.testing.RuleChecker
+import mintpick.testing.SampleJobs
 import mintpick.wire.JobStage
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -10,20 +11,20 @@
 import org.junit.jupiter.api.TestFactory
 
 /** Each checker must fail on a fault made on purpose: otherwise the model test proves nothing. */
-class RulesTest {
-    private val north = Rules.SimPlace("m1", "north", false)
-    private val south = Rules.SimPlace("m2", "south", false)
+class RuleCheckerTest {
+    private val north = RuleChecker.SimPlace("m1", "north", false)
+    private val south = RuleChecker.SimPlace("m2", "south", false)
 
-    private fun rules() = Rules(43 * SECOND, mapOf("red" to 4.0)).apply { submitted(Samples.spec(spot = false, cpus = 2.0)) }
+    private fun rules() = RuleChecker(43 * SECOND, mapOf("red" to 4.0)).apply { submitted(SampleJobs.spec(spot = false, cpus = 2.0)) }
 
-    private val faults: Map<String, (Rules) -> Unit> =
+    private val faults: Map<String, (RuleChecker) -> Unit> =
         mapOf(
             "ran_twice" to { r ->
                 r.started("req-000001/0", north, 1)
                 r.started("req-000001/0", south, 2)
             },
             "quota" to { r -> (0..2).forEach { r.started("req-000001/$it", north, 1) } },
-            "wrong_place" to { r -> r.started("req-000001/0", Rules.SimPlace("m", "north", true), 1) },
+            "wrong_place" to { r -> r.started("req-000001/0", RuleChecker.SimPlace("m", "north", true), 1) },
             "ran_cancelled" to { r ->
                 r.cancelRequested("req-000001")
                 r.told("req-000001", JobStage.CANCELLED, 0)
@@ -55,20 +56,20 @@
                 r.started("req-000001/0", north, 3 * SECOND)
             },
             "too_early" to { r ->
-                r.submitted(Samples.spec("req-000002").copy(predecessors = listOf("req-000001")))
-                r.submitted(Samples.spec("req-000003").copy(predecessors = listOf("req-000002")))
+                r.submitted(SampleJobs.spec("req-000002").copy(predecessors = listOf("req-000001")))
+                r.submitted(SampleJobs.spec("req-000003").copy(predecessors = listOf("req-000002")))
                 (0..1).forEach { r.left("req-000001/$it", true) }
                 r.started("req-000003/0", south, 1)
             },
             "orphaned" to { r ->
-                r.submitted(Samples.spec("req-000002").copy(predecessors = listOf("req-000001")))
-                r.submitted(Samples.spec("req-000003").copy(predecessors = listOf("req-000002")))
+                r.submitted(SampleJobs.spec("req-000002").copy(predecessors = listOf("req-000001")))
+                r.submitted(SampleJobs.spec("req-000003").copy(predecessors = listOf("req-000002")))
                 r.cancelRequested("req-000001")
                 r.told("req-000001", JobStage.CANCELLED, 0)
                 r.told("req-000003", JobStage.QUEUED, 44 * SECOND)
             },
             "went_back: req-000002 cancelled by nobody" to { r ->
-                r.submitted(Samples.spec("req-000002").copy(predecessors = listOf("req-000003")))
+                r.submitted(SampleJobs.spec("req-000002").copy(predecessors = listOf("req-000003")))
                 r.cancelRequested("req-000001")
                 r.told("req-000002", JobStage.CANCELLED, 0)
             },
@@ -79,7 +80,7 @@
             "left_waiting" to { r ->
                 r.calmSinceUs = 0
                 r.told("req-000001", JobStage.QUEUED, 0)
-                (0L..92L step 2).forEach { r.checkWaiting(listOf(Rules.Room(north, "small", 4.0, 32.0)), emptySet(), it * SECOND) }
+                (0L..92L step 2).forEach { r.checkWaiting(listOf(RuleChecker.Room(north, "small", 4.0, 32.0)), emptySet(), it * SECOND) }
             },
             "forgotten: req-000001 at 7" to { r ->
                 r.told("req-000001", JobStage.QUEUED, 5)
@@ -108,7 +109,7 @@
         val rules = rules()
         rules.calmSinceUs = 0
         rules.told("req-000001", JobStage.QUEUED, 0)
-        val large = Rules.Room(north, "large", 16.0, 64.0)
+        val large = RuleChecker.Room(north, "large", 16.0, 64.0)
         for (second in 0L..200L) {
             val (room, held) =
                 if (second % 2 ==
--- a/src/test/kotlin/mintpick/sim/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -1,6 +1,5 @@
-package mintpick.sim
+package mintpick.simulation
 
-import mintpick.Samples
 import mintpick.core.Chunk
 import mintpick.core.Job
 import mintpick.core.JobId
@@ -18,6 +17,14 @@
 import mintpick.store.Keys
 import mintpick.store.RecordCodec
 import mintpick.store.RecordFormat
+import mintpick.testing.ClusterSize
+import mintpick.testing.FaultRates
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.SimulatedStateStore
+import mintpick.testing.UserFaults
+import mintpick.testing.assertRulesHeld
+import mintpick.testing.leadership
 import mintpick.wire.Change
 import mintpick.wire.ClaimRecord
 import mintpick.wire.StoredStage
@@ -35,9 +42,9 @@
 class StateStoreFaultCombinationsTest {
     /** One controller's link to the state service, whose answers may be held up one by one. */
     private class Link(
-        val state: SimState = SimState(),
+        val state: SimulatedStateStore = SimulatedStateStore(),
     ) {
-        private val context = EngineContext(Samples.settings(0), SplittableRandom(1))
+        private val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
         val link = StateStoreClient(context, FormatGate(context))
         private val arrived = ArrayList<Pair<Long, Outcome>>()
         val held = ArrayList<Pair<Call, () -> Unit>>()
@@ -95,13 +102,14 @@
         }
     }
 
-    private fun SimState.write(vararg changes: Change) = assertEquals(200, transact(Transaction(emptyList(), changes.toList())).status)
+    private fun SimulatedStateStore.write(vararg changes: Change) =
+        assertEquals(200, transact(Transaction(emptyList(), changes.toList())).status)
 
     private fun job(
         n: Int,
         tasks: Int = 1,
     ): Change {
-        val spec = Samples.spec("req-%06d".format(n), tasks = tasks)
+        val spec = SampleJobs.spec("req-%06d".format(n), tasks = tasks)
         val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 0, 0, emptyMap())
         return Change(put = Keys.job(spec.id), value = RecordCodec.jobJson(job, RecordFormat.VERBOSE))
     }
@@ -308,22 +316,35 @@
     fun `writes of one kind are carried out without an answer`() =
         kinds.flatMap { (kind, picks) -> listOf(true, false).map { atOnce -> Triple(kind, picks, atOnce) } }.map { (kind, picks, atOnce) ->
             DynamicTest.dynamicTest("$kind ${if (atOnce) "at once" else "late"}") {
-                val world = World(115, FaultRates(), Size(machines = 20)) { Samples.settings(it) }
-                val users = UserTroubles(world)
+                val cluster = SimulatedCluster(115, FaultRates(), ClusterSize(machines = 20)) { SampleJobs.settings(it) }
+                val users = UserFaults(cluster)
                 (1..JOBS).forEach { n ->
-                    val spec = Samples.spec("req-%06d".format(n), if (n % 2 == 0) "red" else "blue", 1 + n % 4, cpus = 1.0, estimateS = 3.0)
-                    world.after(5 * SECOND + n * SECOND / 2) { users.begin(spec, if (n % 4 < 2) n % 5 * SECOND else null) }
+                    val spec =
+                        SampleJobs.spec(
+                            "req-%06d".format(n),
+                            if (n % 2 ==
+                                0
+                            ) {
+                                "red"
+                            } else {
+                                "blue"
+                            },
+                            1 + n % 4,
+                            cpus = 1.0,
+                            estimateS = 3.0,
+                        )
+                    cluster.after(5 * SECOND + n * SECOND / 2) { users.begin(spec, if (n % 4 < 2) n % 5 * SECOND else null) }
                 }
-                world.stateTroubles.atOnce = atOnce
-                world.stateTroubles.picks = { _, transaction -> picks(transaction) }
-                world.after(12 * SECOND) { world.stateTroubles.lost = 1000 }
-                world.after(18 * SECOND) { world.nodes.first { it.settings.node == world.leadership()?.node }.crash(6 * SECOND) }
-                world.after(27 * SECOND) { world.stateTroubles.lost = 0 }
-                world.run(150 * SECOND)
-                val lost = world.stateTroubles.lostOnes
-                assertTrue(world.stateTroubles.carriedOut().isNotEmpty(), "${lost.size} lost, none carried out")
-                world.assertRulesHeld()
-                assertEquals(emptyList<Int>(), (1..JOBS).filter { !world.rules.isFinal("req-%06d".format(it)) })
+                cluster.stateStoreFaults.atOnce = atOnce
+                cluster.stateStoreFaults.picks = { _, transaction -> picks(transaction) }
+                cluster.after(12 * SECOND) { cluster.stateStoreFaults.lost = 1000 }
+                cluster.after(18 * SECOND) { cluster.nodes.first { it.settings.node == cluster.leadership()?.node }.crash(6 * SECOND) }
+                cluster.after(27 * SECOND) { cluster.stateStoreFaults.lost = 0 }
+                cluster.run(150 * SECOND)
+                val lost = cluster.stateStoreFaults.lostTransactions
+                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "${lost.size} lost, none carried out")
+                cluster.assertRulesHeld()
+                assertEquals(emptyList<Int>(), (1..JOBS).filter { !cluster.rules.isFinal("req-%06d".format(it)) })
             }
         }
 
--- a/src/test/kotlin/mintpick/sim/UncertainRequeueTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
@@ -1,8 +1,13 @@
-package mintpick.sim
+package mintpick.simulation
 
-import mintpick.Samples
 import mintpick.core.MILLI
 import mintpick.core.SECOND
+import mintpick.testing.ClusterSize
+import mintpick.testing.FaultRates
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedAgent
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.machinesIn
 import mintpick.wire.Transaction
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -19,44 +24,44 @@
     private class Doubt(
         seed: Long,
     ) {
-        val world = World(seed, FaultRates(), Size(machines = 10)) { Samples.settings(it) }
-        private val alone = world.nodes.single { it.settings.zone == ZONE }
-        private val lostFor = HashMap<Transaction, List<SimWorker>>()
-        private var hung = emptyList<SimWorker>()
+        val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 10)) { SampleJobs.settings(it) }
+        private val alone = cluster.nodes.single { it.settings.zone == ZONE }
+        private val lostFor = HashMap<Transaction, List<SimulatedAgent>>()
+        private var hung = emptyList<SimulatedAgent>()
 
         /** For each requeue that was carried out late: machines it took tasks from, and what they held then. */
         val carriedOut = ArrayList<Pair<String, Set<String>>>()
 
         fun play() {
             (1..12).forEach { n ->
-                val spec = Samples.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 300.0)
-                world.after(n * SECOND / 4) { world.user(spec, null) }
+                val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 300.0)
+                cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
             }
             // What ends meanwhile leaves room for the successors.
             (13..18).forEach { n ->
-                val spec = Samples.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 50.0)
-                world.after(n * SECOND / 4) { world.user(spec, null) }
+                val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 50.0)
+                cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
             }
-            world.run(60 * SECOND)
-            world.cloud.out = true
+            cluster.run(60 * SECOND)
+            cluster.cloud.out = true
             alone.cutFromPeers = true
             hung =
-                world.workers.values
+                cluster.workers.values
                     .filter { it.zone == ZONE && it.held().isNotEmpty() }
                     .take(2)
             hung.forEach { it.hangingUntilUs = Long.MAX_VALUE }
-            world.stateTroubles.lost = 1000
-            world.stateTroubles.lateUs = LATE..LATE + SECOND
-            world.stateTroubles.picks = { node, transaction -> node === alone && isRequeue(transaction) }
-            world.stateTroubles.onCarriedOut = { late ->
+            cluster.stateStoreFaults.lost = 1000
+            cluster.stateStoreFaults.lateUs = LATE..LATE + SECOND
+            cluster.stateStoreFaults.picks = { node, transaction -> node === alone && isRequeue(transaction) }
+            cluster.stateStoreFaults.onCarriedOut = { late ->
                 lostFor.getValue(late.transaction).forEach { carriedOut += it.id to it.held() }
             }
-            world.run(102 * SECOND)
+            cluster.run(102 * SECOND)
         }
 
         /** Whether [transaction] takes tasks from machines that hung; they come back once the first such was sent. */
         private fun isRequeue(transaction: Transaction): Boolean {
-            val before = world.state.keys().toMap()
+            val before = cluster.state.keys().toMap()
             val machines =
                 hung.filter { machine ->
                     transaction.changes.any {
@@ -72,12 +77,12 @@
         private fun machinesIn(
             key: String?,
             text: String?,
-        ): Set<String> = if (key == null || text == null) emptySet() else world.machinesIn(key, text)
+        ): Set<String> = if (key == null || text == null) emptySet() else cluster.machinesIn(key, text)
 
-        private fun comeBack(machine: SimWorker) {
-            val sent = world.now
-            machine.hangingUntilUs = sent + 200 * MILLI + world.random.nextLong(SECOND)
-            world.after(AGAIN) { machine.hangingUntilUs = sent + BACK }
+        private fun comeBack(machine: SimulatedAgent) {
+            val sent = cluster.now
+            machine.hangingUntilUs = sent + 200 * MILLI + cluster.random.nextLong(SECOND)
+            cluster.after(AGAIN) { machine.hangingUntilUs = sent + BACK }
         }
     }
 
@@ -91,7 +96,7 @@
                 assertEquals(
                     emptyList<String>() to emptyList<String>(),
                     doubt.carriedOut.filter { it.second.isNotEmpty() }.map { "$it" } to
-                        doubt.world.rules.breaches
+                        doubt.cluster.rules.breaches
                             .distinct()
                             .take(5),
                 )
--- a/src/test/kotlin/mintpick/sim/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
@@ -1,7 +1,6 @@
-package mintpick.sim
+package mintpick.simulation
 
 import kotlinx.serialization.json.JsonElement
-import mintpick.Samples
 import mintpick.core.JobId
 import mintpick.core.MILLI
 import mintpick.core.SECOND
@@ -18,6 +17,11 @@
 import mintpick.net.Outcome
 import mintpick.store.Keys
 import mintpick.store.RecordCodec
+import mintpick.testing.ClusterSize
+import mintpick.testing.FaultRates
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.UserFaults
 import mintpick.wire.Change
 import mintpick.wire.JobSpec
 import mintpick.wire.JobStage
@@ -33,63 +37,63 @@
 
 /** What users ask, in the moments in which something else happens to their jobs, and what they are told. */
 class UserRequestFaultCombinationsTest {
-    private fun world(
+    private fun cluster(
         seed: Long,
-        size: Size = Size(),
-    ) = World(seed, FaultRates(), size) { Samples.settings(it) }
+        size: ClusterSize = ClusterSize(),
+    ) = SimulatedCluster(seed, FaultRates(), size) { SampleJobs.settings(it) }
 
     private fun id(n: Int) = "req-%06d".format(n)
 
-    private fun World.clean() = assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
+    private fun SimulatedCluster.clean() = assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
 
     private fun batch(
         n: Int,
         tasks: Int = 1,
         estimateS: Double = 4.0,
-    ): JobSpec = Samples.spec(id(n), team = "blue", tasks = tasks, cpus = 1.0, estimateS = estimateS)
+    ): JobSpec = SampleJobs.spec(id(n), team = "blue", tasks = tasks, cpus = 1.0, estimateS = estimateS)
 
     /** Meeting 5: each write's guard, and room for submissions, when a quarter of a stream of jobs is cancelled. */
     @Test
     fun `one-task jobs come four a second and a quarter is cancelled`() {
-        val world = world(105, Size(machines = 30))
-        val users = UserTroubles(world)
+        val cluster = cluster(105, ClusterSize(machines = 30))
+        val users = UserFaults(cluster)
         (1..480).forEach { n ->
-            val cancelUs = if (n % 4 == 0) world.random.nextLong(6 * SECOND) else null
-            world.after(n * SECOND / 4) { world.user(batch(n), cancelUs) }
+            val cancelUs = if (n % 4 == 0) cluster.random.nextLong(6 * SECOND) else null
+            cluster.after(n * SECOND / 4) { cluster.user(batch(n), cancelUs) }
         }
-        world.after(100 * SECOND) { world.rules.calmSinceUs = world.now }
-        world.after(SECOND) { users.watchWaiting() }
-        world.run(220 * SECOND)
-        world.clean()
-        assertEquals(480, (1..480).count { world.rules.isFinal(id(it)) })
+        cluster.after(100 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+        cluster.after(SECOND) { users.watchWaiting() }
+        cluster.run(220 * SECOND)
+        cluster.clean()
+        assertEquals(480, (1..480).count { cluster.rules.isFinal(id(it)) })
     }
 
     /** Meeting 8: an answer from a copy of the records that another node's answer has overtaken. */
     @Test
     fun `close looks at all nodes never see an older answer`() {
-        val world = world(108, Size(machines = 20))
-        val users = UserTroubles(world)
+        val cluster = cluster(108, ClusterSize(machines = 20))
+        val users = UserFaults(cluster)
         (1..60).forEach { n ->
             val cancelUs = listOf(null, 0L, 3 * MILLI, 2 * SECOND)[n % 4]
-            world.after(10 * SECOND + n * SECOND / 2) { users.begin(batch(n, tasks = 1 + n % 3, estimateS = 2.0), cancelUs) }
+            cluster.after(10 * SECOND + n * SECOND / 2) { users.begin(batch(n, tasks = 1 + n % 3, estimateS = 2.0), cancelUs) }
         }
-        world.run(100 * SECOND)
-        world.clean()
-        assertEquals(60, (1..60).count { world.rules.isFinal(id(it)) })
+        cluster.run(100 * SECOND)
+        cluster.clean()
+        assertEquals(60, (1..60).count { cluster.rules.isFinal(id(it)) })
         assertTrue(users.answers.getValue("look 200") > 2000 && users.answers.getValue("repeat 200") > 1000, "${users.answers}")
     }
 
     /** Meeting 14: a cancellation that is written beside the record of the job's end. */
     @Test
     fun `cancellations, questions and repeated submissions meet the end of a job's last task`() {
-        val world = world(114, Size(machines = 20))
-        val users = UserTroubles(world)
+        val cluster = cluster(114, ClusterSize(machines = 20))
+        val users = UserFaults(cluster)
         users.cancelAtEnd(50)
-        (1..80).forEach { n -> world.after(10 * SECOND + n * SECOND / 3) { world.user(batch(n, 1 + n % 4, 2.0), null) } }
-        world.run(100 * SECOND)
-        world.clean()
+        (1..80).forEach { n -> cluster.after(10 * SECOND + n * SECOND / 3) { cluster.user(batch(n, 1 + n % 4, 2.0), null) } }
+        cluster.run(100 * SECOND)
+        cluster.clean()
         assertTrue(users.cancelledAtEnd.size > 20, "${users.cancelledAtEnd.size} cancelled at their end")
-        assertEquals(80, (1..80).count { world.rules.isFinal(id(it)) })
+        assertEquals(80, (1..80).count { cluster.rules.isFinal(id(it)) })
     }
 
     /** Many running jobs cancelled at once while their machines hang: what goes on there must be stopped in time. */
@@ -97,104 +101,104 @@
     fun `running jobs are cancelled at once while their machines hang`() =
         listOf(3L, 12L, 17L, 30L).map { hangS ->
             DynamicTest.dynamicTest("for $hangS s") {
-                val world = world(120 + hangS)
-                val users = UserTroubles(world)
-                (1..40).forEach { n -> world.user(batch(n, tasks = 2, estimateS = 500.0), null) }
-                world.run(60 * SECOND)
+                val cluster = cluster(120 + hangS)
+                val users = UserFaults(cluster)
+                (1..40).forEach { n -> cluster.user(batch(n, tasks = 2, estimateS = 500.0), null) }
+                cluster.run(60 * SECOND)
                 users.cancelNow(25, hangS * SECOND)
-                world.run(120 * SECOND)
-                world.clean()
+                cluster.run(120 * SECOND)
+                cluster.clean()
                 assertTrue(users.cancelledRunning.size > 15 && users.hung.size > 3, "${users.cancelledRunning.size} on ${users.hung.size}")
-                assertTrue(users.cancelledRunning.all { job -> world.rules.isFinal(job) })
-                assertEquals(emptyList<Long>(), world.rules.startsAfterCancel.filter { it > 2 * SECOND })
+                assertTrue(users.cancelledRunning.all { job -> cluster.rules.isFinal(job) })
+                assertEquals(emptyList<Long>(), cluster.rules.startsAfterCancel.filter { it > 2 * SECOND })
             }
         }
 
     /** Meeting 24: a cancellation that one controller has taken while the machines or the work pass to another. */
     @TestFactory
     fun `jobs are cancelled while work changes hands`() =
-        mapOf<String, (World) -> Unit>(
+        mapOf<String, (SimulatedCluster) -> Unit>(
             "restart" to { it.nodes[0].crash(SECOND / 5) },
             "long absence" to { it.nodes[0].crash(12 * SECOND) },
-            "no state service" to { world ->
-                world.nodes[0].cutFromState = true
-                world.after(9 * SECOND) { world.nodes[0].cutFromState = false }
+            "no state service" to { cluster ->
+                cluster.nodes[0].cutFromState = true
+                cluster.after(9 * SECOND) { cluster.nodes[0].cutFromState = false }
             },
-            "deposed" to { world ->
-                world.nodes[0].cutFromState = true
-                world.nodes[0].cutFromPeers = true
-                world.after(15 * SECOND) {
-                    world.nodes[0].cutFromState = false
-                    world.nodes[0].cutFromPeers = false
+            "deposed" to { cluster ->
+                cluster.nodes[0].cutFromState = true
+                cluster.nodes[0].cutFromPeers = true
+                cluster.after(15 * SECOND) {
+                    cluster.nodes[0].cutFromState = false
+                    cluster.nodes[0].cutFromPeers = false
                 }
             },
-        ).map { (name, trouble) ->
+        ).map { (name, fault) ->
             DynamicTest.dynamicTest(name) {
-                val world = world(124, Size(machines = 20))
-                val users = UserTroubles(world)
-                (1..60).forEach { n -> world.user(batch(n, tasks = 2, estimateS = 500.0), null) }
-                world.run(50 * SECOND)
-                val before = world.claims()
-                trouble(world)
-                (1..48).forEach { n -> world.after(n * SECOND / 4) { users.cancel(id(n), n % World.NODES) } }
-                world.run(140 * SECOND)
-                world.clean()
-                assertTrue(world.claims() > before, "nothing changed hands")
-                assertTrue((1..48).all { world.rules.isFinal(id(it)) })
-                assertEquals(emptyList<Long>(), world.rules.startsAfterCancel.filter { it > 2 * SECOND })
+                val cluster = cluster(124, ClusterSize(machines = 20))
+                val users = UserFaults(cluster)
+                (1..60).forEach { n -> cluster.user(batch(n, tasks = 2, estimateS = 500.0), null) }
+                cluster.run(50 * SECOND)
+                val before = cluster.claims()
+                fault(cluster)
+                (1..48).forEach { n -> cluster.after(n * SECOND / 4) { users.cancel(id(n), n % SimulatedCluster.NODES) } }
+                cluster.run(140 * SECOND)
+                cluster.clean()
+                assertTrue(cluster.claims() > before, "nothing changed hands")
+                assertTrue((1..48).all { cluster.rules.isFinal(id(it)) })
+                assertEquals(emptyList<Long>(), cluster.rules.startsAfterCancel.filter { it > 2 * SECOND })
             }
         }
 
     /** How often parts or machines have been claimed or borrowed. */
-    private fun World.claims(): Int = listOf("s", "b").sumOf { state.writesByKind[it] ?: 0 }
+    private fun SimulatedCluster.claims(): Int = listOf("s", "b").sumOf { state.writesByKind[it] ?: 0 }
 
     /** An accepted job's repeated submission got 400 for its missing field, and lost the job for its user. */
     @Test
     fun `odd requests get the protocol's answer in each phase of a controller`() {
-        val world = world(125)
-        val users = UserTroubles(world)
+        val cluster = cluster(125)
+        val users = UserFaults(cluster)
         val job = batch(1, estimateS = 500.0)
         val over = batch(2, estimateS = 1.0)
         // Nothing is known yet: nobody may be told anything final.
         var next = users.oddRequests(batch(0), 1000)
-        world.run(SECOND / 2)
-        listOf(job, over).forEach { world.user(it, null) }
-        world.run(30 * SECOND)
-        assertTrue(world.rules.isFinal(over.id))
+        cluster.run(SECOND / 2)
+        listOf(job, over).forEach { cluster.user(it, null) }
+        cluster.run(30 * SECOND)
+        assertTrue(cluster.rules.isFinal(over.id))
         val phases =
             listOf<(Boolean) -> Unit>(
                 { },
-                { on -> world.nodes[0].cutFromState = on },
-                { on -> world.state.out = on },
-                { on -> if (on) world.nodes.forEach { it.crash(SECOND / 2) } },
-                { on -> if (on) world.nodes[1].crash(8 * SECOND) },
+                { on -> cluster.nodes[0].cutFromState = on },
+                { on -> cluster.state.out = on },
+                { on -> if (on) cluster.nodes.forEach { it.crash(SECOND / 2) } },
+                { on -> if (on) cluster.nodes[1].crash(8 * SECOND) },
             )
         for (phase in phases) {
             phase(true)
             for (n in 1..8) {
                 next = users.oddRequests(batch(0), next)
                 listOf(job, over).forEach { users.repeatOddly(it) }
-                repeat(World.NODES) { users.cancel(over.id, it) }
-                users.poll(id(999), n % World.NODES, "unknown")
-                world.run(world.now + SECOND / 2)
+                repeat(SimulatedCluster.NODES) { users.cancel(over.id, it) }
+                users.poll(id(999), n % SimulatedCluster.NODES, "unknown")
+                cluster.run(cluster.now + SECOND / 2)
             }
             phase(false)
-            world.run(world.now + 15 * SECOND)
+            cluster.run(cluster.now + 15 * SECOND)
         }
-        world.clean()
+        cluster.clean()
         assertEquals(setOf("400", "503"), users.statuses("malformed"))
         assertEquals(setOf("422", "503"), users.statuses("impossible"))
         assertEquals(setOf("200", "503"), users.statuses("odd repeat"))
         assertEquals(setOf("404", "503"), users.statuses("unknown"))
-        assertEquals(JobStage.DONE, world.rules.stageOf(over.id))
+        assertEquals(JobStage.DONE, cluster.rules.stageOf(over.id))
     }
 
-    private fun UserTroubles.statuses(kind: String): Set<String> =
+    private fun UserFaults.statuses(kind: String): Set<String> =
         answers.keys.filter { it.startsWith("$kind ") }.mapTo(HashSet()) { it.substringAfterLast(' ') }
 
     private val finished = (1..1200).map { id(it) }
 
-    private fun World.store(
+    private fun SimulatedCluster.store(
         keys: List<String>,
         value: JsonElement,
     ) = keys.chunked(100).forEach { part -> state.transact(Transaction(emptyList(), part.map { Change(put = it, value = value) })) }
@@ -207,23 +211,23 @@
         cutMs: Long,
         slowMs: (Call) -> Long,
     ) {
-        val world = world(101)
+        val cluster = cluster(101)
         val over = RecordCodec.finalJson(StoredStage.DONE, 1)
-        world.store(finished.map(Keys::job), over)
-        world.state.keptChanges = 100
-        world.run(10 * SECOND)
-        val node = world.nodes[0]
+        cluster.store(finished.map(Keys::job), over)
+        cluster.state.keptChanges = 100
+        cluster.run(10 * SECOND)
+        val node = cluster.nodes[0]
         node.cutFromState = true
-        world.run(10 * SECOND + cutMs * MILLI)
-        world.store((2000..2200).map { Keys.job(id(it)) }, over)
-        world.slowAnswer = { from, call -> if (from === node) slowMs(call) * MILLI else 0 }
+        cluster.run(10 * SECOND + cutMs * MILLI)
+        cluster.store((2000..2200).map { Keys.job(id(it)) }, over)
+        cluster.slowAnswer = { from, call -> if (from === node) slowMs(call) * MILLI else 0 }
         node.cutFromState = false
         val answers = ArrayList<Answer>()
         val ask: (String) -> Unit = { job -> node.deliver(Event.Poll(JobId(job), ReplyTo { answers += it })) }
-        world.run(world.now + 8 * SECOND)
-        assertTrue(world.state.tooOld > 0, "no watch was too old")
+        cluster.run(cluster.now + 8 * SECOND)
+        assertTrue(cluster.state.tooOld > 0, "no watch was too old")
         finished.forEach(ask)
-        world.run(world.now + 2 * SECOND)
+        cluster.run(cluster.now + 2 * SECOND)
         assertEquals(0, answers.count { it.status == 404 }, "cut for $cutMs ms")
         assertTrue(answers.count { it.status == 200 } >= finished.size, "${answers.size} answers")
     }
@@ -246,7 +250,7 @@
 
     /** A controller's link to the state service, whose calls the test answers in the order it likes. */
     private class ScriptedLink {
-        val context = EngineContext(Samples.settings(0), SplittableRandom(1))
+        val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
         val stateStore = StateStoreClient(context, FormatGate(context))
         private val open = LinkedHashMap<Long, Call>()
         private var now = 0L
--- a/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
+++ b/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
@@ -9,12 +9,12 @@
 import io.kotest.property.arbitrary.string
 import io.kotest.property.checkAll
 import kotlinx.coroutines.runBlocking
-import mintpick.Samples
 import mintpick.core.Chunk
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineId
 import mintpick.core.Placement
+import mintpick.testing.SampleJobs
 import mintpick.wire.MachineRecord
 import mintpick.wire.StoredStage
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -50,7 +50,7 @@
                     task to
                         Placement(MachineId("host-%06d".format(n)), 1 + random.nextInt(2) * 40)
                 }
-            val spec = Samples.spec("req-123456789", "a team of some length", tasks = 100_000, estimateS = 123.456)
+            val spec = SampleJobs.spec("req-123456789", "a team of some length", tasks = 100_000, estimateS = 123.456)
             val chunk = Chunk(0, Job.CHUNK, placed, BitSet(), emptyMap())
             val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 1_700_000_000_000_000, 7, mapOf(0 to chunk))
             val value = RecordCodec.jobJson(job, RecordFormat.COMPACT)
--- a/src/test/kotlin/mintpick/sim/Conditions.kt
+++ b/src/test/kotlin/mintpick/testing/FaultRates.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.Micros
 import mintpick.core.SECOND
@@ -14,7 +14,7 @@
 )
 
 /** How large the world may grow. */
-data class Size(
+data class ClusterSize(
     val machines: Int = 14,
     val listed: Int = 30,
     /** Spot machines that the cloud has. */
--- a/src/test/kotlin/mintpick/sim/LargeFleetDay.kt
+++ b/src/test/kotlin/mintpick/testing/LargeFleetDay.kt
@@ -1,6 +1,5 @@
-package mintpick.sim
+package mintpick.testing
 
-import mintpick.Samples
 import mintpick.config.Settings
 import mintpick.core.MachineId
 import mintpick.core.SECOND
@@ -23,27 +22,27 @@
     val changesPerSecond: Double,
     val changes: Int? = null,
 ) {
-    val refusing = changes?.let { SimState.StateLimits(valueKb * 1024, it, changesPerSecond) }
+    val refusing = changes?.let { SimulatedStateStore.StateLimits(valueKb * 1024, it, changesPerSecond) }
 }
 
 internal fun largeFleetToml(
     index: Int,
     limits: FleetLimits,
 ): String =
-    Samples
+    SampleJobs
         .toml(index)
         .replace("value_kb = 32.0", "value_kb = ${limits.valueKb}.0")
         .replace("write_rps = 40.0", "write_rps = ${limits.changesPerSecond}")
         .replace("txn_ops = 16", "txn_ops = ${limits.changes ?: 16}")
 
-private fun World.listed(): List<MachineId> =
+private fun SimulatedCluster.listed(): List<MachineId> =
     state
         .keys()
         .filter { Keys.parse(it.first) is Keys.Subject.MachineList }
         .flatMap { RecordCodec.decodeMachineList(WireJson.parseToJsonElement(it.second)).keys }
 
 /** Every machine that has been up for a while is in the records, each once, and no value is larger than allowed. */
-private fun World.checkListed(
+private fun SimulatedCluster.checkListed(
     upBefore: Set<String>,
     limits: FleetLimits,
 ) {
@@ -60,40 +59,40 @@
 internal fun playLargeFleetDay(
     machines: Int,
     limits: FleetLimits,
-    prepare: (World) -> Unit = {},
+    prepare: (SimulatedCluster) -> Unit = {},
 ): FleetCosts {
-    val world = World(91, FaultRates(), Size(machines = machines)) { Settings.parse(largeFleetToml(it, limits)) }
-    prepare(world)
-    world.state.limits = limits.refusing
+    val cluster = SimulatedCluster(91, FaultRates(), ClusterSize(machines = machines)) { Settings.parse(largeFleetToml(it, limits)) }
+    prepare(cluster)
+    cluster.state.limits = limits.refusing
     val services = machines / 20
     (1..services).forEach { n ->
-        world.after(n * 15 * SECOND / services) { world.user(Samples.service(n, team = "blue", tasks = 4, cpus = 2.0), null) }
+        cluster.after(n * 15 * SECOND / services) { cluster.user(SampleJobs.service(n, team = "blue", tasks = 4, cpus = 2.0), null) }
     }
     val arrays = machines / 50
     (1..arrays).forEach { n ->
-        val spec = Samples.spec("req-%06d".format(1000 + n), team = "blue", tasks = 200, cpus = 4.0, estimateS = 40.0)
-        world.after(n * 50 * SECOND / arrays) { world.user(spec, null) }
+        val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", tasks = 200, cpus = 4.0, estimateS = 40.0)
+        cluster.after(n * 50 * SECOND / arrays) { cluster.user(spec, null) }
     }
-    world.run(58 * SECOND)
-    val up = world.workers.keys.toSet()
+    cluster.run(58 * SECOND)
+    val up = cluster.workers.keys.toSet()
     assertTrue(up.size > machines * 9 / 10, "${up.size} machines are up after a minute")
-    world.run(70 * SECOND)
-    world.checkListed(up, limits)
-    world.workers.keys
+    cluster.run(70 * SECOND)
+    cluster.checkListed(up, limits)
+    cluster.workers.keys
         .filterIndexed { i, _ -> i % 8 == 0 }
-        .forEach(world::remove)
-    world.after(5 * SECOND) { world.leader().crash(3 * SECOND) }
-    world.after(25 * SECOND) { world.nodes.forEach { it.crash(SECOND / 3) } }
-    world.after(40 * SECOND) { world.nodes.drop(1).forEach { it.crash(30 * SECOND) } }
-    world.run(150 * SECOND)
-    world.rules.calmSinceUs = world.now
-    world.run(170 * SECOND)
-    world.checkListed(up, limits)
-    world.assertRulesHeld()
+        .forEach(cluster::remove)
+    cluster.after(5 * SECOND) { cluster.leader().crash(3 * SECOND) }
+    cluster.after(25 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } }
+    cluster.after(40 * SECOND) { cluster.nodes.drop(1).forEach { it.crash(30 * SECOND) } }
+    cluster.run(150 * SECOND)
+    cluster.rules.calmSinceUs = cluster.now
+    cluster.run(170 * SECOND)
+    cluster.checkListed(up, limits)
+    cluster.assertRulesHeld()
     val replicas =
-        world.rules.running.keys
+        cluster.rules.running.keys
             .count { it < "req-001000" }
     assertTrue(replicas >= services * 4 * 99 / 100, "$replicas of ${services * 4} replicas run")
-    val starts = world.rules.starts.toDouble()
-    return FleetCosts(world.state.writes / starts, world.nodes.sumOf { it.calls } / starts, world.nodes.sumOf { it.events } / starts)
+    val starts = cluster.rules.starts.toDouble()
+    return FleetCosts(cluster.state.writes / starts, cluster.nodes.sumOf { it.calls } / starts, cluster.nodes.sumOf { it.events } / starts)
 }
--- a/src/test/kotlin/mintpick/sim/Pipelines.kt
+++ b/src/test/kotlin/mintpick/testing/Pipelines.kt
@@ -1,13 +1,12 @@
-package mintpick.sim
+package mintpick.testing
 
-import mintpick.Samples
 import mintpick.core.SECOND
 import mintpick.wire.JobSpec
 import mintpick.wire.Priority
 
 /** Jobs that wait for others, in the shapes that pipelines have. Ids go on from [next]. */
 internal class Pipelines(
-    private val world: World,
+    private val cluster: SimulatedCluster,
     private var next: Int,
 ) {
     val jobs = ArrayList<JobSpec>()
@@ -19,13 +18,13 @@
     ): JobSpec {
         val last = jobs.size % 3 == 2
         val spec =
-            Samples
+            SampleJobs
                 .spec(
                     "req-%06d".format(next++),
                     team,
                     tasks,
                     cpus = 1.0,
-                    estimateS = 1.0 + world.random.nextInt(6),
+                    estimateS = 1.0 + cluster.random.nextInt(6),
                     priority = if (last) Priority.HIGH else Priority.LOW,
                 ).copy(predecessors = needs.map { it.id }.ifEmpty { null }, deadlineS = if (last) 90.0 else null)
         jobs += spec
@@ -57,5 +56,5 @@
         made: List<JobSpec>,
         cancelled: JobSpec? = null,
         cancelAfterS: Long = 5,
-    ) = made.forEach { world.user(it, if (it === cancelled) cancelAfterS * SECOND else null) }
+    ) = made.forEach { cluster.user(it, if (it === cancelled) cancelAfterS * SECOND else null) }
 }
--- /dev/null
+++ b/src/test/kotlin/mintpick/testing/RandomFaultDay.kt
@@ -0,0 +1,72 @@
+package mintpick.testing
+
+import mintpick.core.SECOND
+import mintpick.wire.JobKind
+import mintpick.wire.JobSpec
+import mintpick.wire.Priority
+
+private const val JOBS = 24
+
+/** What happened on the drawn day of [seed]. */
+internal class RandomFaultDay(
+    val seed: Long,
+    val faults: List<String>,
+    val starts: Int,
+    val breaches: List<String>,
+)
+
+private fun jobOf(
+    cluster: SimulatedCluster,
+    n: Int,
+): JobSpec {
+    val id = "req-%06d".format(n)
+    val random = cluster.random
+    if (n % 3 == 0) {
+        val tasks = 1 + random.nextInt(3)
+        val spread = random.nextBoolean()
+        val zone = if (!spread && random.nextInt(4) == 0) "south" else null
+        return SampleJobs.spec(id, "red", tasks, JobKind.SERVICE, Priority.PRODUCTION, 1.0, spot = false, spread = spread, zone = zone)
+    }
+    val team = if (n % 2 == 0) "red" else "blue"
+    val estimateS = 2.0 + random.nextInt(30)
+    val spec = SampleJobs.spec(id, team, 1 + random.nextInt(6), oneZone = random.nextInt(4) == 0, estimateS = estimateS)
+    return spec.copy(predecessors = predecessorsOf(n).map { "req-%06d".format(it) }.ifEmpty { null })
+}
+
+/** Two of each dozen jobs wait for others: one for a job that is cancelled sooner or later, one for that and one more. */
+private fun predecessorsOf(n: Int): List<Int> =
+    when (n % 12) {
+        5 -> listOf(n - 1)
+        10 -> listOf(n - 2, n - 5)
+        else -> emptyList()
+    }
+
+/** Plays the day of [seed]; [prepare] may choose what its controllers run. */
+internal fun playRandomFaultDay(
+    seed: Long,
+    prepare: (SimulatedCluster) -> Unit = {},
+): RandomFaultDay {
+    val cluster = SimulatedCluster(seed, FaultRates(lost = 2, lostAnswer = 2, late = 3, copied = 30)) { SampleJobs.settings(it) }
+    prepare(cluster)
+    (1..JOBS).forEach { n ->
+        val cancelAfter = if (n % 4 == 0) cluster.random.nextLong(70 * SECOND) else null
+        cluster.after(cluster.random.nextLong(60 * SECOND)) { cluster.user(jobOf(cluster, n), cancelAfter) }
+    }
+    val faults = ArrayList<String>()
+    val first = 20 * SECOND + cluster.random.nextLong(30 * SECOND)
+    repeat(2 + cluster.random.nextInt(2)) {
+        val at = first + cluster.random.nextLong(12 * SECOND)
+        cluster.after(at) { faults += cluster.injectRandom(ALL_FAULTS, 4 * SECOND, 60 * SECOND) }
+    }
+    cluster.after(125 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+    cluster.run(230 * SECOND)
+    cluster.rules.checkServed(cluster.now)
+    return RandomFaultDay(
+        seed,
+        faults,
+        cluster.rules.starts,
+        cluster.rules.breaches
+            .distinct()
+            .take(3),
+    )
+}
--- a/src/test/kotlin/mintpick/sim/Rules.kt
+++ b/src/test/kotlin/mintpick/testing/RuleChecker.kt
@@ -1,11 +1,11 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.Micros
 import mintpick.wire.JobSpec
 import mintpick.wire.JobStage
 
 /** The rules of PROTOCOL, checked from the stand-ins' own view. Each breach is a line that begins with the rule's name. */
-class Rules(
+class RuleChecker(
     private val cancelUs: Micros,
     private val limits: Map<String, Double>,
 ) {
--- a/src/test/kotlin/mintpick/Samples.kt
+++ b/src/test/kotlin/mintpick/testing/SampleJobs.kt
@@ -1,4 +1,4 @@
-package mintpick
+package mintpick.testing
 
 import mintpick.config.Settings
 import mintpick.wire.JobKind
@@ -6,7 +6,7 @@
 import mintpick.wire.Priority
 
 /** Settings and jobs that tests share. */
-object Samples {
+object SampleJobs {
     fun toml(
         index: Int = 0,
         cpusMax: Double = 24.0,
--- a/src/test/kotlin/mintpick/sim/SimWorker.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedAgent.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.Micros
 import mintpick.core.SECOND
@@ -12,13 +12,13 @@
 /** What the world watches: which attempt is on which machine, from the machines' own view. */
 interface TaskWatcher {
     fun started(
-        machine: SimWorker,
+        machine: SimulatedAgent,
         task: String,
         now: Micros,
     )
 
     fun left(
-        machine: SimWorker,
+        machine: SimulatedAgent,
         task: String,
         completed: Boolean,
         now: Micros,
@@ -28,13 +28,13 @@
 
     /** Whether a run of [task] on [machine] ends with an error. */
     fun fails(
-        machine: SimWorker,
+        machine: SimulatedAgent,
         task: String,
     ): Boolean
 }
 
 /** Stand-in for one machine's worker: tokens, sessions, leases and tasks as PROTOCOL describes them. */
-class SimWorker(
+class SimulatedAgent(
     val id: String,
     val address: String,
     val type: String,
--- a/src/test/kotlin/mintpick/sim/SimCloud.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCloud.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.Micros
 import mintpick.core.SECOND
@@ -12,9 +12,9 @@
 import mintpick.wire.WireJson
 
 /** Stand-in for the cloud: rents and returns machines and lists them late, as PROTOCOL describes it. */
-class SimCloud(
-    private val world: World,
-    private val size: Size,
+class SimulatedCloud(
+    private val cluster: SimulatedCluster,
+    private val size: ClusterSize,
     private val listLagUs: Micros,
 ) {
     private val booting = LinkedHashMap<String, RentalRequest>()
@@ -37,7 +37,7 @@
 
     /** To be called each second: notes what a list that is asked for later will show. */
     fun noteList() {
-        lists.addLast(world.now to listing())
+        lists.addLast(cluster.now to listing())
         while (lists.size > size.listed) lists.removeFirst()
     }
 
@@ -69,15 +69,15 @@
     }
 
     private fun release(body: String): String {
-        WireJson.decodeFromString(MachineNames.serializer(), body).machines.forEach(world::remove)
+        WireJson.decodeFromString(MachineNames.serializer(), body).machines.forEach(cluster::remove)
         return "{}"
     }
 
     private fun list(after: String): String {
-        val lag = listLagUs * (1 + world.random.nextInt(2))
+        val lag = listLagUs * (1 + cluster.random.nextInt(2))
         val list =
             lists
-                .lastOrNull { it.first <= world.now - lag }
+                .lastOrNull { it.first <= cluster.now - lag }
                 ?.second
                 .orEmpty()
                 .filter { it.id > after }
@@ -87,7 +87,7 @@
     private fun rent(body: String): List<String> {
         val request = WireJson.decodeFromString(RentalRequest.serializer(), body)
         return answered.getOrPut(request.request) {
-            val workers = world.workers.values
+            val workers = cluster.workers.values
             val spotUsed = workers.count { it.spot } + booting.values.count { it.spot }
             val spotLeft = if (request.spot) size.spot - spotUsed else Int.MAX_VALUE
             val left = size.machines - workers.size - booting.size
@@ -98,10 +98,10 @@
     private fun begin(request: RentalRequest): String {
         val id = "host-%06d".format(++rented)
         booting[id] = request
-        born[id] = world.now
-        val usual = size.boots.first + world.random.nextLong(size.boots.last - size.boots.first)
+        born[id] = cluster.now
+        val usual = size.boots.first + cluster.random.nextLong(size.boots.last - size.boots.first)
         bootFactor(request)?.let { factor ->
-            world.after(usual * factor) { booting.remove(id)?.let { world.boot(id, it) } }
+            cluster.after(usual * factor) { booting.remove(id)?.let { cluster.boot(id, it) } }
         }
         return id
     }
@@ -114,10 +114,10 @@
     private fun listing(): List<ListedMachine> {
         val all =
             booting.mapValues { (_, r) -> Triple(r.type, r.zone, r.spot) to RentalStage.BOOTING } +
-                world.workers.mapValues { (_, w) -> Triple(w.type, w.zone, w.spot) to RentalStage.RUNNING }
+                cluster.workers.mapValues { (_, w) -> Triple(w.type, w.zone, w.spot) to RentalStage.RUNNING }
         return all.toSortedMap().map { (id, kind) ->
             val (type, zone, spot) = kind.first
-            ListedMachine(id, null, type, zone, spot, kind.second, (world.now - born.getValue(id)).toDouble() / SECOND)
+            ListedMachine(id, null, type, zone, spot, kind.second, (cluster.now - born.getValue(id)).toDouble() / SECOND)
         }
     }
 
--- a/src/test/kotlin/mintpick/sim/World.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.config.Operators
 import mintpick.config.Settings
@@ -26,10 +26,10 @@
 import java.util.SplittableRandom
 
 /** Three engines, a state service, a cloud, workers and users in one virtual time, with troubles at will. */
-class World(
+class SimulatedCluster(
     seed: Long,
     private val faultRates: FaultRates,
-    private val size: Size = Size(),
+    private val size: ClusterSize = ClusterSize(),
     private val settingsOf: (Int) -> Settings,
 ) : TaskWatcher {
     /** The controller of one process: some version of the engine. */
@@ -120,13 +120,13 @@
     private val timers = PriorityQueue<Timer>(compareBy<Timer> { it.atUs }.thenBy { it.order })
     private var order = 0L
     private var started = false
-    val state = SimState()
-    val stateTroubles = StateTroubles(this)
-    internal val userTroubles by lazy { UserTroubles(this) }
+    val state = SimulatedStateStore()
+    val stateStoreFaults = StateStoreFaults(this)
+    internal val userFaults by lazy { UserFaults(this) }
     val nodes = (0 until NODES).map { Node(it) }
-    val workers = LinkedHashMap<String, SimWorker>()
+    val workers = LinkedHashMap<String, SimulatedAgent>()
 
-    val cloud by lazy { SimCloud(this, size, nodes[0].settings.listLagUs) }
+    val cloud by lazy { SimulatedCloud(this, size, nodes[0].settings.listLagUs) }
 
     /** The two zones can't reach each other. */
     var zonesCut = false
@@ -144,7 +144,7 @@
     var linkDelay: (Node, Call) -> Micros = { _, _ -> 0 }
 
     /** Which runs end with an error: by machine and task. */
-    var failing: (SimWorker, String) -> Boolean = { _, _ -> false }
+    var failing: (SimulatedAgent, String) -> Boolean = { _, _ -> false }
 
     /** Run times of tasks that differ from their job's estimate. */
     val runTimes = HashMap<String, Micros>()
@@ -153,12 +153,12 @@
     val callsTo = HashMap<String, Int>()
 
     val rules =
-        Rules(
+        RuleChecker(
             nodes[0].settings.cancelUs,
             nodes[0].settings.teams.associate { it.name to it.cpusMax },
         )
-    val delays = Delays(this)
-    private val users = Users(this)
+    val messageDelays = MessageDelays(this)
+    private val users = SimulatedUsers(this)
 
     fun after(
         delay: Micros,
@@ -185,7 +185,7 @@
 
     private fun worldLoop() {
         state.tick(now)
-        delays.tick()
+        messageDelays.tick()
         workers.values.toList().forEach { it.tick(now) }
         rules.tick(now)
         if (now % SECOND < TICK) {
@@ -222,13 +222,13 @@
         if (cut) return
         // A packet that is held back arrives long after the sender has given up.
         val usual = if (hit(faultRates.late)) 2 * SECOND + random.nextLong(20 * SECOND) else delay()
-        val travel = (delays.travelUs(from, call) ?: usual) + linkDelay(from, call)
+        val travel = (messageDelays.travelUs(from, call) ?: usual) + linkDelay(from, call)
         val reply: (Int, ByteArray) -> Unit = { status, body ->
-            delays.arrived(call, status)
+            messageDelays.arrived(call, status)
             if (!hit(faultRates.lostAnswer)) after(delay() + slowAnswer(from, call)) { end(Outcome.Answered(status, body)) }
         }
         val arrival: ((Int, ByteArray) -> Unit) -> Unit = { answered -> arrive(call, answered) { end(Outcome.NotSent) } }
-        after(travel) { if (call.target is Target.State) stateTroubles.pass(from, call, reply, arrival) else arrival(reply) }
+        after(travel) { if (call.target is Target.State) stateStoreFaults.pass(from, call, reply, arrival) else arrival(reply) }
     }
 
     private fun peersCut(
@@ -281,7 +281,7 @@
     }
 
     private fun inspect(
-        worker: SimWorker,
+        worker: SimulatedAgent,
         reply: (Int, ByteArray) -> Unit,
     ) {
         if (now < worker.hangingUntilUs || worker.deaf) return
@@ -289,7 +289,7 @@
     }
 
     private fun command(
-        worker: SimWorker,
+        worker: SimulatedAgent,
         batch: CommandBatch,
         reply: (Int, ByteArray) -> Unit,
     ) {
@@ -309,7 +309,7 @@
     ) {
         val number = id.takeLast(4).toInt()
         val address = "10.1.${number / 250}.${number % 250}:9000"
-        val worker = SimWorker(id, address, request.type, request.zone, request.spot, nodes[0].settings.leaseUs, this, now)
+        val worker = SimulatedAgent(id, address, request.type, request.zone, request.spot, nodes[0].settings.leaseUs, this, now)
         workers[id] = worker
         reportLoop(worker, random.nextInt(NODES), 0)
     }
@@ -321,7 +321,7 @@
     }
 
     private fun reportLoop(
-        worker: SimWorker,
+        worker: SimulatedAgent,
         target: Int,
         waitedUs: Micros,
     ) {
@@ -332,13 +332,13 @@
     }
 
     private fun report(
-        worker: SimWorker,
+        worker: SimulatedAgent,
         target: Int,
     ) {
         val node = nodes[target]
         val message = worker.report(now)
         val sent = now
-        delays.reported(message)
+        messageDelays.reported(message)
         if (hit(faultRates.copied)) after(2 * SECOND + random.nextLong(58 * SECOND)) { replay(message, nodes[random.nextInt(NODES)]) }
         var open = true
         val next: (Int, Micros) -> Unit = { to, pause ->
@@ -380,7 +380,7 @@
     }
 
     private fun miss(
-        worker: SimWorker,
+        worker: SimulatedAgent,
         answer: Answer,
     ) {
         if (answer.status ==
@@ -399,7 +399,7 @@
     }
 
     private fun take(
-        worker: SimWorker,
+        worker: SimulatedAgent,
         target: Int,
         session: Long,
         sentUs: Micros,
@@ -434,13 +434,13 @@
     fun pollUnknown(id: String) = users.pollUnknown(id)
 
     override fun started(
-        machine: SimWorker,
+        machine: SimulatedAgent,
         task: String,
         now: Micros,
-    ) = rules.started(task, Rules.SimPlace(machine.id, machine.zone, machine.spot), now)
+    ) = rules.started(task, RuleChecker.SimPlace(machine.id, machine.zone, machine.spot), now)
 
     override fun left(
-        machine: SimWorker,
+        machine: SimulatedAgent,
         task: String,
         completed: Boolean,
         now: Micros,
@@ -458,7 +458,7 @@
     }
 
     override fun fails(
-        machine: SimWorker,
+        machine: SimulatedAgent,
         task: String,
     ): Boolean = failing(machine, task)
 
--- a/src/test/kotlin/mintpick/sim/SimState.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedStateStore.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import kotlinx.serialization.json.JsonElement
 import mintpick.core.Micros
@@ -15,7 +15,7 @@
 import java.util.TreeMap
 
 /** Stand-in for the state service: consistent, with leases, transactions and a watch, as PROTOCOL describes it. */
-class SimState {
+class SimulatedStateStore {
     /** What one transaction and one second may carry. */
     data class StateLimits(
         val valueBytes: Int,
--- a/src/test/kotlin/mintpick/sim/Users.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedUsers.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.JobId
 import mintpick.core.Micros
@@ -13,10 +13,10 @@
 import mintpick.wire.WireJson
 
 /** The world's users: they keep asking, and what they are told goes to the rules. */
-internal class Users(
-    private val world: World,
+internal class SimulatedUsers(
+    private val cluster: SimulatedCluster,
 ) {
-    private val rules get() = world.rules
+    private val rules get() = cluster.rules
 
     /** One who submits, repeats until accepted, and polls to the end. */
     fun begin(
@@ -25,12 +25,12 @@
     ) {
         // Users name only jobs that were accepted.
         if (!spec.predecessors.orEmpty().all(rules::isAccepted)) {
-            world.after(FOLLOW_UP) { begin(spec, cancelAfterUs) }
+            cluster.after(FOLLOW_UP) { begin(spec, cancelAfterUs) }
             return
         }
-        rules.submitted(spec, world.now)
+        rules.submitted(spec, cluster.now)
         submit(spec)
-        if (cancelAfterUs != null) world.after(cancelAfterUs) { cancel(spec.id) }
+        if (cancelAfterUs != null) cluster.after(cancelAfterUs) { cancel(spec.id) }
     }
 
     private fun submit(spec: JobSpec) {
@@ -40,15 +40,15 @@
                 told(spec.id, answer)
                 poll(spec.id)
                 // Repeats may come at any later time.
-                if (world.random.nextInt(3) == 0) world.after(world.random.nextLong(20 * SECOND)) { resubmit(spec) }
+                if (cluster.random.nextInt(3) == 0) cluster.after(cluster.random.nextLong(20 * SECOND)) { resubmit(spec) }
             } else {
-                world.after(SECOND) { submit(spec) }
+                cluster.after(SECOND) { submit(spec) }
             }
         }
     }
 
     private fun resubmit(spec: JobSpec) {
-        val asked = world.now
+        val asked = cluster.now
         ask({ Event.Submit(spec, it) }) { answer ->
             rules.refused(spec.id, answer?.status ?: 0)
             if (answer?.status in listOf(200, 201)) told(spec.id, answer, asked)
@@ -56,7 +56,7 @@
     }
 
     private fun poll(id: String) {
-        val asked = world.now
+        val asked = cluster.now
         rules.asked(id, asked)
         ask({ Event.Poll(JobId(id), it) }) { answer ->
             if (answer?.status == 200) rules.answered(id)
@@ -65,41 +65,41 @@
                     rules.told(
                         id,
                         WireJson.decodeFromString(JobStatus.serializer(), answer.body.decodeToString()).stage,
-                        world.now,
+                        cluster.now,
                         asked,
                     )
-                404 -> rules.told(id, null, world.now, asked)
+                404 -> rules.told(id, null, cluster.now, asked)
                 else -> Unit
             }
-            world.after(2 * SECOND) { poll(id) }
+            cluster.after(2 * SECOND) { poll(id) }
         }
     }
 
-    fun pollUnknown(id: String) = ask({ Event.Poll(JobId(id), it) }) { if (it?.status == 200) rules.told(id, JobStage.QUEUED, world.now) }
+    fun pollUnknown(id: String) = ask({ Event.Poll(JobId(id), it) }) { if (it?.status == 200) rules.told(id, JobStage.QUEUED, cluster.now) }
 
     private fun cancel(id: String) {
-        if (!rules.isAccepted(id)) return world.after(SECOND) { cancel(id) }
+        if (!rules.isAccepted(id)) return cluster.after(SECOND) { cancel(id) }
         rules.cancelRequested(id)
         ask({ Event.Cancel(JobId(id), it) }) { answer ->
-            if (answer?.status == 200) told(id, answer) else world.after(SECOND) { cancel(id) }
+            if (answer?.status == 200) told(id, answer) else cluster.after(SECOND) { cancel(id) }
         }
     }
 
     private fun told(
         id: String,
         answer: Answer?,
-        askedUs: Micros = world.now,
+        askedUs: Micros = cluster.now,
     ) {
         val body = answer?.body?.decodeToString() ?: return
-        rules.told(id, WireJson.decodeFromString(JobAnswer.serializer(), body).stage, world.now, askedUs)
+        rules.told(id, WireJson.decodeFromString(JobAnswer.serializer(), body).stage, cluster.now, askedUs)
     }
 
     private fun ask(
         event: (ReplyTo) -> Event,
         then: (Answer?) -> Unit,
     ) {
-        val up = world.nodes.filter { it.engine != null && it.settings.zone != world.zoneOut }
-        if (up.isEmpty()) return world.after(SECOND) { then(null) }
+        val up = cluster.nodes.filter { it.engine != null && it.settings.zone != cluster.zoneOut }
+        if (up.isEmpty()) return cluster.after(SECOND) { then(null) }
         var open = true
         val end: (Answer?) -> Unit = {
             if (open) {
@@ -107,9 +107,9 @@
                 then(it)
             }
         }
-        world.after(5 * SECOND) { end(null) }
-        val node = up[world.random.nextInt(up.size)]
-        world.after(world.delay()) { node.deliver(event(ReplyTo { answer -> world.after(world.delay()) { end(answer) } })) }
+        cluster.after(5 * SECOND) { end(null) }
+        val node = up[cluster.random.nextInt(up.size)]
+        cluster.after(cluster.delay()) { node.deliver(event(ReplyTo { answer -> cluster.after(cluster.delay()) { end(answer) } })) }
     }
 
     private companion object {
@@ -119,7 +119,7 @@
 }
 
 /** Submits [spec] to one controller, once; [then] hears the status of the answer. */
-internal fun World.submitTo(
+internal fun SimulatedCluster.submitTo(
     node: Int,
     spec: JobSpec,
     then: (Int) -> Unit,
--- a/src/test/kotlin/mintpick/sim/StateTroubles.kt
+++ b/src/test/kotlin/mintpick/testing/StateStoreFaults.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.MILLI
 import mintpick.core.Micros
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom
 
 /** What goes wrong between the controllers and the state service. All odds are thousandths. */
-class StateTroubles(
-    private val world: World,
+class StateStoreFaults(
+    private val cluster: SimulatedCluster,
 ) {
     /** A transaction that got no answer; [status] is what became of it, null as long as it is under way. */
     class Lost(
@@ -30,42 +30,42 @@
     var onCarriedOut: (Lost) -> Unit = {}
 
     /** Which transactions may be lost. */
-    var picks: (World.Node, Transaction) -> Boolean = { _, _ -> true }
+    var picks: (SimulatedCluster.Node, Transaction) -> Boolean = { _, _ -> true }
 
     /** Answers that take hundreds of milliseconds up to three seconds; watches too. */
     var slow = 0
 
     /** Is refused while the others are served: its open watches wait, and its leases run out. */
-    var refused: World.Node? = null
-    val lostOnes = ArrayList<Lost>()
+    var refused: SimulatedCluster.Node? = null
+    val lostTransactions = ArrayList<Lost>()
     var slowAnswers = 0
         private set
 
     /** Those that took effect after the given status came of them. */
-    fun carriedOut(): List<Lost> = lostOnes.filter { it.status == OK }
+    fun carriedOut(): List<Lost> = lostTransactions.filter { it.status == OK }
 
     /** A request has arrived: [arrival] carries it out and gives the answer to whom it is passed. */
     internal fun pass(
-        from: World.Node,
+        from: SimulatedCluster.Node,
         call: Call,
         reply: (Int, ByteArray) -> Unit,
         arrival: ((Int, ByteArray) -> Unit) -> Unit,
     ) {
         val isWatch = call.path.startsWith("/follow") && !call.path.endsWith("wait_ms=0")
         if (refused === from) {
-            return if (isWatch) world.after(HELD) { pass(from, call, reply, arrival) } else reply(REFUSED, ByteArray(0))
+            return if (isWatch) cluster.after(HELD) { pass(from, call, reply, arrival) } else reply(REFUSED, ByteArray(0))
         }
         if (call.path == "/multi" && lose(from, call, arrival)) return
         if (!hit(slow)) return arrival { status, body -> give(from, isWatch, call, arrival, status, body, reply) }
         slowAnswers++
         val delay = SLOW_LEAST + random.nextLong(SLOW_MOST - SLOW_LEAST)
         // Either way counts: what is carried out at once and answered late, and what is carried out late.
-        if (random.nextBoolean()) world.after(delay) { arrival(reply) } else arrival { s, b -> world.after(delay) { reply(s, b) } }
+        if (random.nextBoolean()) cluster.after(delay) { arrival(reply) } else arrival { s, b -> cluster.after(delay) { reply(s, b) } }
     }
 
     /** A watch that was open when its controller came to be refused tells nothing until that is over. */
     private fun give(
-        from: World.Node,
+        from: SimulatedCluster.Node,
         isWatch: Boolean,
         call: Call,
         arrival: ((Int, ByteArray) -> Unit) -> Unit,
@@ -75,21 +75,21 @@
     ) = if (isWatch && refused === from) pass(from, call, reply, arrival) else reply(status, body)
 
     private fun lose(
-        from: World.Node,
+        from: SimulatedCluster.Node,
         call: Call,
         arrival: ((Int, ByteArray) -> Unit) -> Unit,
     ): Boolean {
         if (lost == 0) return false
         val transaction = WireJson.decodeFromString(Transaction.serializer(), requireNotNull(call.body).decodeToString())
         if (!picks(from, transaction) || !hit(lost)) return false
-        val noted = Lost(from.name, transaction).also { lostOnes += it }
+        val noted = Lost(from.name, transaction).also { lostTransactions += it }
         val carryOut = {
             arrival { status, _ ->
                 noted.status = status
                 if (status == OK) onCarriedOut(noted)
             }
         }
-        if (atOnce) carryOut() else world.after(lateUs.first + random.nextLong(lateUs.last - lateUs.first), carryOut)
+        if (atOnce) carryOut() else cluster.after(lateUs.first + random.nextLong(lateUs.last - lateUs.first), carryOut)
         return true
     }
 
--- a/src/test/kotlin/mintpick/sim/Records.kt
+++ b/src/test/kotlin/mintpick/testing/StoredRecords.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import com.google.common.hash.Hashing
 import mintpick.core.Chunk
@@ -14,17 +14,17 @@
 import mintpick.wire.WireJson
 
 /** Who leads, with the lease that the claim hangs on. */
-internal fun World.leadership(): ClaimRecord? =
+internal fun SimulatedCluster.leadership(): ClaimRecord? =
     state
         .keys()
         .firstOrNull { it.first == Keys.LEADER }
         ?.let { WireJson.decodeFromString(ClaimRecord.serializer(), it.second) }
 
 /** The controller that leads. */
-internal fun World.leader(): World.Node = nodes.first { it.settings.node == leadership()?.node }
+internal fun SimulatedCluster.leader(): SimulatedCluster.Node = nodes.first { it.settings.node == leadership()?.node }
 
 /** Machines that the record at [key] names, in whichever format it is written. */
-internal fun World.machinesIn(
+internal fun SimulatedCluster.machinesIn(
     key: String,
     text: String,
 ): Set<String> {
@@ -50,27 +50,27 @@
 private fun machinesOf(chunk: Chunk): Set<String> = chunk.placed.values.mapTo(HashSet()) { it.machine.text }
 
 /** Keys of all records that name [machine], in whichever format they are written. */
-internal fun World.recordsNaming(machine: String): Set<String> =
+internal fun SimulatedCluster.recordsNaming(machine: String): Set<String> =
     state
         .keys()
         .filter { (key, text) -> machine in key || machine in text || machine in machinesIn(key, text) }
         .mapTo(HashSet()) { it.first }
 
 /** What the list of machines says of [machine]; null if it is not listed. */
-internal fun World.listed(machine: String): MachineRecord? =
+internal fun SimulatedCluster.listed(machine: String): MachineRecord? =
     state
         .keys()
         .filter { Keys.parse(it.first) is Keys.Subject.MachineList }
         .firstNotNullOfOrNull { RecordCodec.decodeMachineList(WireJson.parseToJsonElement(it.second))[MachineId(machine)] }
 
 /** Tasks that have completed while the records count none of their jobs as done. */
-internal fun World.unwritten(
+internal fun SimulatedCluster.unwritten(
     jobs: List<JobSpec>,
     done: Map<String, Int>,
 ): List<String> = jobs.filter { (done[it.id] ?: 0) == 0 }.map { "${it.id}/0" }.filter(rules::isCompleted)
 
 /** What the records show as done never becomes less. */
-internal fun World.checkRecord(
+internal fun SimulatedCluster.checkRecord(
     job: JobSpec,
     done: MutableMap<String, Int>,
 ) {
@@ -86,15 +86,16 @@
 private fun part(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
 
 /** The shard of a machine, whose claim gives the right to command it. */
-internal fun World.shardOf(worker: SimWorker): Int = nodes[0].settings.zones.indexOf(worker.zone) * ShardClaims.PARTITIONS + part(worker.id)
+internal fun SimulatedCluster.shardOf(worker: SimulatedAgent): Int =
+    nodes[0].settings.zones.indexOf(worker.zone) * ShardClaims.PARTITIONS + part(worker.id)
 
 /** Shards with machines in them that [node] claims. */
-internal fun World.shardsInUse(node: World.Node): Int =
+internal fun SimulatedCluster.shardsInUse(node: SimulatedCluster.Node): Int =
     workers.values.map(::shardOf).distinct().count { shard ->
         val claim = state.keys().firstOrNull { it.first == Keys.shard(shard) }?.second
         claim != null && WireJson.decodeFromString(ClaimRecord.serializer(), claim).node == node.settings.node
     }
 
 /** Shards that [node] claims. */
-internal fun World.claimsOf(node: World.Node): Int =
+internal fun SimulatedCluster.claimsOf(node: SimulatedCluster.Node): Int =
     state.keys().count { it.first.startsWith(Keys.shard(0).dropLast(1)) && node.settings.node in it.second }
--- a/src/test/kotlin/mintpick/sim/UserTroubles.kt
+++ b/src/test/kotlin/mintpick/testing/UserFaults.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonNull
@@ -20,11 +20,11 @@
 import org.http4k.core.Status
 
 /** Users who ask through the HTTP routes of a chosen node, at chosen moments; what they are told goes to the rules. */
-internal class UserTroubles(
-    private val world: World,
+internal class UserFaults(
+    private val cluster: SimulatedCluster,
 ) {
-    private val rules get() = world.rules
-    private val routes = world.nodes.map { node -> Routes({ node.deliver(it) }, { true }, MAX_WAITING) { world.now } }
+    private val rules get() = cluster.rules
+    private val routes = cluster.nodes.map { node -> Routes({ node.deliver(it) }, { true }, MAX_WAITING) { cluster.now } }
 
     /** Answers by what was asked and their status. */
     val answers = HashMap<String, Int>()
@@ -50,8 +50,8 @@
                 then(response)
             }
         }
-        world.after(PATIENCE) { end(Response(Status.GATEWAY_TIMEOUT)) }
-        world.after(world.delay()) { routes[node].api(request) { response -> world.after(world.delay()) { end(response) } } }
+        cluster.after(PATIENCE) { end(Response(Status.GATEWAY_TIMEOUT)) }
+        cluster.after(cluster.delay()) { routes[node].api(request) { response -> cluster.after(cluster.delay()) { end(response) } } }
     }
 
     private fun stageIn(response: Response): JobStage {
@@ -65,8 +65,8 @@
         askedUs: Micros,
     ) {
         when (response.status.code) {
-            200, 201 -> rules.told(job, stageIn(response), world.now, askedUs)
-            404 -> rules.told(job, null, world.now, askedUs)
+            200, 201 -> rules.told(job, stageIn(response), cluster.now, askedUs)
+            404 -> rules.told(job, null, cluster.now, askedUs)
             else -> rules.refused(job, response.status.code)
         }
     }
@@ -76,7 +76,7 @@
         node: Int,
         kind: String = "poll",
     ) {
-        val asked = world.now
+        val asked = cluster.now
         send(kind, node, Request(Method.GET, "/api/jobs/$job")) { tell(job, it, asked) }
     }
 
@@ -87,7 +87,7 @@
         kind: String = "submit",
         then: (Response) -> Unit = {},
     ) {
-        val asked = world.now
+        val asked = cluster.now
         send(kind, node, Request(Method.POST, "/api/jobs").body(MemoryBody(body))) {
             tell(job, it, asked)
             then(it)
@@ -101,13 +101,13 @@
         then: () -> Unit = {},
     ) {
         rules.cancelRequested(job)
-        val asked = world.now
+        val asked = cluster.now
         send("cancel", node, Request(Method.POST, "/api/jobs/$job/cancel")) { response ->
             if (response.status.code == 200) {
                 tell(job, response, asked)
                 then()
             } else {
-                world.after(SECOND) { cancel(job, (node + 1) % World.NODES, then) }
+                cluster.after(SECOND) { cancel(job, (node + 1) % SimulatedCluster.NODES, then) }
             }
         }
     }
@@ -117,9 +117,9 @@
     /** Questions at all nodes, and a repeated submission, again and again within milliseconds. */
     fun lookClosely(spec: JobSpec) {
         for (at in listOf(0L, 1, 2, 4, 8, 15, 40, 120)) {
-            for (node in 0 until World.NODES) {
-                world.after(at * MILLI) { poll(spec.id, node, "look") }
-                if (at % 4 == 0L) world.after(at * MILLI) { submit(spec.id, bodyOf(spec), node, "repeat") }
+            for (node in 0 until SimulatedCluster.NODES) {
+                cluster.after(at * MILLI) { poll(spec.id, node, "look") }
+                if (at % 4 == 0L) cluster.after(at * MILLI) { submit(spec.id, bodyOf(spec), node, "repeat") }
             }
         }
     }
@@ -129,10 +129,10 @@
         spec: JobSpec,
         cancelAfterUs: Micros?,
     ) {
-        rules.submitted(spec, world.now)
+        rules.submitted(spec, cluster.now)
         submitUntilAccepted(spec) {
             lookClosely(spec)
-            if (cancelAfterUs != null) world.after(cancelAfterUs) { cancel(spec.id, anyNode()) { lookClosely(spec) } }
+            if (cancelAfterUs != null) cluster.after(cancelAfterUs) { cancel(spec.id, anyNode()) { lookClosely(spec) } }
             pollToEnd(spec)
         }
     }
@@ -142,17 +142,17 @@
         then: () -> Unit,
     ) {
         submit(spec.id, bodyOf(spec), anyNode()) { response ->
-            if (response.status.code in ACCEPTED) then() else world.after(SECOND) { submitUntilAccepted(spec, then) }
+            if (response.status.code in ACCEPTED) then() else cluster.after(SECOND) { submitUntilAccepted(spec, then) }
         }
     }
 
     private fun pollToEnd(spec: JobSpec) {
         if (rules.isFinal(spec.id)) return lookClosely(spec)
         poll(spec.id, anyNode())
-        world.after(SECOND) { pollToEnd(spec) }
+        cluster.after(SECOND) { pollToEnd(spec) }
     }
 
-    private fun anyNode(): Int = world.random.nextInt(World.NODES)
+    private fun anyNode(): Int = cluster.random.nextInt(SimulatedCluster.NODES)
 
     /** Submissions that can't be accepted, in turn: without a field, with one of a wrong type, and jobs that fit nowhere. */
     fun oddRequests(
@@ -164,7 +164,7 @@
         val whole: (JobSpec) -> JsonObject = { WireJson.encodeToJsonElement(JobSpec.serializer(), it).jsonObject }
         for (broken in malformed(whole(spec))) {
             val odd = fresh(spec)
-            rules.submitted(odd, world.now)
+            rules.submitted(odd, cluster.now)
             submit(odd.id, JsonObject(broken + ("id" to JsonPrimitive(odd.id))).toString(), anyNode(), "malformed")
         }
         for (job in listOf(
@@ -174,7 +174,7 @@
             spec.copy(types = listOf("none")),
         )) {
             val odd = fresh(job)
-            rules.submitted(odd, world.now)
+            rules.submitted(odd, cluster.now)
             submit(odd.id, bodyOf(odd), anyNode(), "impossible")
         }
         return id
@@ -200,7 +200,7 @@
         hangUs: Micros,
     ) {
         val running =
-            world.workers.values.flatMap { machine ->
+            cluster.workers.values.flatMap { machine ->
                 rules.attemptsOn(machine.id).map { it.substringBeforeLast('/') to machine }
             }
         val jobs =
@@ -216,20 +216,20 @@
                 .distinct()
                 .take(HANGING)
         for (machine in machines) {
-            machine.hangingUntilUs = world.now + hangUs
-            rules.hangs(machine.id, world.now)
+            machine.hangingUntilUs = cluster.now + hangUs
+            rules.hangs(machine.id, cluster.now)
             hung += machine.id
         }
-        jobs.forEachIndexed { i, job -> world.after(i * (SECOND / 5) / jobs.size) { cancel(job, i % World.NODES) } }
+        jobs.forEachIndexed { i, job -> cluster.after(i * (SECOND / 5) / jobs.size) { cancel(job, i % SimulatedCluster.NODES) } }
         cancelledRunning += jobs
     }
 
     /** Cancels a [percent] of the jobs that end, at the moment of their end, for as long as the world runs. */
     fun cancelAtEnd(percent: Int) {
-        world.onLastTaskDone = { job ->
-            if (world.random.nextInt(PERCENT) < percent) {
+        cluster.onLastTaskDone = { job ->
+            if (cluster.random.nextInt(PERCENT) < percent) {
                 cancelledAtEnd += job
-                val cancelling = world.random.nextInt(World.NODES)
+                val cancelling = cluster.random.nextInt(SimulatedCluster.NODES)
                 cancel(job, cancelling)
                 rules.spec(job)?.let(::lookClosely)
             }
@@ -238,16 +238,16 @@
 
     /** From now on jobs that wait beside room for them are noticed. */
     fun watchWaiting() {
-        val working = world.workers.values.filter { world.now >= it.hangingUntilUs && !it.deaf && it.noticeUs == null }
+        val working = cluster.workers.values.filter { cluster.now >= it.hangingUntilUs && !it.deaf && it.noticeUs == null }
         val rooms =
             working.map { machine ->
                 val type = MACHINE_TYPES.first { it.name == machine.type }
                 val specs = machine.held().mapNotNull { rules.spec(it.substringBeforeLast('/')) }
-                val place = Rules.SimPlace(machine.id, machine.zone, machine.spot)
-                Rules.Room(place, machine.type, type.cpus - specs.sumOf { it.cpus }, type.memoryGb - specs.sumOf { it.memoryGb })
+                val place = RuleChecker.SimPlace(machine.id, machine.zone, machine.spot)
+                RuleChecker.Room(place, machine.type, type.cpus - specs.sumOf { it.cpus }, type.memoryGb - specs.sumOf { it.memoryGb })
             }
-        rules.checkWaiting(rooms, world.workers.values.flatMapTo(HashSet()) { it.held() }, world.now)
-        world.after(SECOND) { watchWaiting() }
+        rules.checkWaiting(rooms, cluster.workers.values.flatMapTo(HashSet()) { it.held() }, cluster.now)
+        cluster.after(SECOND) { watchWaiting() }
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/sim/WaitingRule.kt
+++ b/src/test/kotlin/mintpick/testing/WaitingJobRule.kt
@@ -1,4 +1,4 @@
-package mintpick.sim
+package mintpick.testing
 
 import mintpick.core.Micros
 import mintpick.core.SECOND
@@ -10,23 +10,23 @@
  * Once the troubles are over, no task is left waiting for 90 s while a machine that fits has room and its team is under
  * its limit. All of this is judged each second by what runs where, not by the controllers' records.
  */
-class WaitingRule(
-    private val world: World,
+class WaitingJobRule(
+    private val cluster: SimulatedCluster,
     private val limits: Map<String, Double>,
 ) {
     /** Since when each task that waits could have run. */
     private val couldRunSince = HashMap<String, Micros>()
-    private val rules get() = world.rules
+    private val rules get() = cluster.rules
 
     fun watch() {
         look()
-        world.after(SECOND, ::watch)
+        cluster.after(SECOND, ::watch)
     }
 
     private fun look() {
         val free =
-            world.workers.values
-                .filter { world.now >= it.hangingUntilUs && !it.deaf }
+            cluster.workers.values
+                .filter { cluster.now >= it.hangingUntilUs && !it.deaf }
                 .associateWith(::freeOn)
         val used = limits.mapValues { (team, _) -> rules.running.keys.sumOf { cpusOf(it, team) } }
         val able = HashSet<String>()
@@ -35,8 +35,8 @@
             if (waiting.isNotEmpty() && couldRun(job, waiting.size, free, used)) able += waiting
         }
         couldRunSince.keys.retainAll(able)
-        able.forEach { couldRunSince.putIfAbsent(it, world.now) }
-        couldRunSince.filterValues { world.now - it > LONGEST }.keys.forEach {
+        able.forEach { couldRunSince.putIfAbsent(it, cluster.now) }
+        couldRunSince.filterValues { cluster.now - it > LONGEST }.keys.forEach {
             rules.breaches += "left_waiting: $it since ${couldRunSince[it]}"
         }
     }
@@ -50,7 +50,7 @@
         team: String,
     ): Double = specOf(task)?.takeIf { it.team == team }?.cpus ?: 0.0
 
-    private fun freeOn(worker: SimWorker): Double {
+    private fun freeOn(worker: SimulatedAgent): Double {
         val total = MACHINE_TYPES.first { it.name == worker.type }.cpus
         return total - rules.attemptsOn(worker.id).sumOf { specOf(it)?.cpus ?: 0.0 }
     }
@@ -59,7 +59,7 @@
     private fun couldRun(
         job: JobSpec,
         waiting: Int,
-        free: Map<SimWorker, Double>,
+        free: Map<SimulatedAgent, Double>,
         used: Map<String, Double>,
     ): Boolean {
         val least = if (job.kind == JobKind.GANG) waiting else 1
--- a/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
@@ -1,12 +1,12 @@
 package mintpick.upgrade
 
 import kotlinx.serialization.json.JsonElement
-import mintpick.Samples
 import mintpick.core.SECOND
-import mintpick.sim.World
-import mintpick.sim.assertRulesHeld
-import mintpick.sim.submitTo
 import mintpick.store.Keys
+import mintpick.testing.SampleJobs
+import mintpick.testing.SimulatedCluster
+import mintpick.testing.assertRulesHeld
+import mintpick.testing.submitTo
 import mintpick.wire.WireJson
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNotEquals
@@ -43,7 +43,7 @@
         }
 
     /** Records that the version in production would not rewrite as they are. */
-    private fun World.unreadableBefore(): List<String> =
+    private fun SimulatedCluster.unreadableBefore(): List<String> =
         state.keys().mapNotNull { (key, text) ->
             val value = WireJson.parseToJsonElement(text)
             key.takeIf { recordOf(it)?.let { record -> rewritten(record, value) != value } ?: false }
@@ -52,57 +52,57 @@
     @Test
     fun `while one controller is still old, all that is written is read and rewritten by it without loss`() {
         val roll = RollingUpgrade(311)
-        val world = roll.world
-        world.beforehand()
-        world.run(25 * SECOND)
+        val cluster = roll.cluster
+        cluster.beforehand()
+        cluster.run(25 * SECOND)
         val before =
-            world.state
+            cluster.state
                 .keys()
                 .map { it.first }
                 .toSet()
         roll.exchange(0)
-        world.run(38 * SECOND)
+        cluster.run(38 * SECOND)
         roll.exchange(1)
         for (at in 39..75) {
-            world.run(at * SECOND)
-            assertEquals(emptyList<String>(), world.unreadableBefore(), "at $at s")
+            cluster.run(at * SECOND)
+            assertEquals(emptyList<String>(), cluster.unreadableBefore(), "at $at s")
         }
         val prefixes =
             (
-                world.state
+                cluster.state
                     .keys()
                     .map { it.first }
                     .toSet() - before
             ).filter { recordOf(it) == null }
         assertEquals(listOf(Keys.format("node-0"), Keys.format("node-1")), prefixes.sorted())
         // A controller that only wrote nothing would pass: the new ones have placed, finished and listed.
-        assertTrue(world.rules.starts > 300, "${world.rules.starts} starts")
+        assertTrue(cluster.rules.starts > 300, "${cluster.rules.starts} starts")
         roll.exchange(2)
-        world.run(110 * SECOND)
-        assertNotEquals(emptyList<String>(), world.unreadableBefore(), "the compact format is in use afterwards")
-        world.assertRulesHeld()
+        cluster.run(110 * SECOND)
+        assertNotEquals(emptyList<String>(), cluster.unreadableBefore(), "the compact format is in use afterwards")
+        cluster.assertRulesHeld()
     }
 
     /** An old controller that waits for its turn for long: submissions with the new field are refused, and may come again. */
     @Test
     fun `a job that waits for others is not accepted before all controllers know what that means`() {
         val roll = RollingUpgrade(312)
-        val world = roll.world
-        val earlier = world.beforehand()
-        world.run(20 * SECOND)
+        val cluster = roll.cluster
+        val earlier = cluster.beforehand()
+        cluster.run(20 * SECOND)
         roll.exchange(0)
         roll.exchange(1)
-        world.run(50 * SECOND)
-        val job = Samples.spec("req-000200", "blue", estimateS = 2.0).copy(predecessors = listOf(earlier[1].id))
+        cluster.run(50 * SECOND)
+        val job = SampleJobs.spec("req-000200", "blue", estimateS = 2.0).copy(predecessors = listOf(earlier[1].id))
         val statuses = ArrayList<Int>()
-        (0..1).forEach { n -> world.submitTo(n, job) { statuses.add(it) } }
-        world.run(55 * SECOND)
+        (0..1).forEach { n -> cluster.submitTo(n, job) { statuses.add(it) } }
+        cluster.run(55 * SECOND)
         assertEquals(listOf(503, 503), statuses)
         roll.exchange(2)
-        world.run(70 * SECOND)
-        world.user(job, null)
-        world.run(150 * SECOND)
-        world.assertRulesHeld()
-        assertTrue(world.rules.isComplete(job.id))
+        cluster.run(70 * SECOND)
+        cluster.user(job, null)
+        cluster.run(150 * SECOND)
+        cluster.assertRulesHeld()
+        assertTrue(cluster.rules.isComplete(job.id))
     }
 }
--- a/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
+++ b/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
@@ -7,7 +7,7 @@
 import mintpick.engine.runtime.ReplyTo
 import mintpick.net.Answer
 import mintpick.net.Call
-import mintpick.sim.World
+import mintpick.testing.SimulatedCluster
 import mintpick.wire.JobSpec
 import mintpick.wire.MachineReport
 import mintpick.wire.MeshProtobuf
@@ -25,7 +25,7 @@
     toml: String,
     random: SplittableRandom,
     private val cost: StepCost = StepCost(),
-) : World.Controller {
+) : SimulatedCluster.Controller {
     private val layout = version.layout
     private val engine: Any
     private val step: Method
--- a/src/test/kotlin/mintpick/wire/SubmissionTest.kt
+++ b/src/test/kotlin/mintpick/wire/SubmissionTest.kt
@@ -13,6 +13,7 @@
 import kotlinx.serialization.json.JsonNull
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
+import mintpick.testing.SampleJobs
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
@@ -74,7 +75,7 @@
 
     @Test
     fun `numbers must be numbers within range`() {
-        val whole = WireJson.encodeToJsonElement(JobSpec.serializer(), mintpick.Samples.spec()) as JsonObject
+        val whole = WireJson.encodeToJsonElement(JobSpec.serializer(), SampleJobs.spec()) as JsonObject
         val bad =
             listOf(
                 "pieces" to JsonPrimitive("3"),
@@ -102,7 +103,7 @@
     }
 
     private fun withPredecessors(value: String): JobSpec {
-        val whole = WireJson.encodeToJsonElement(JobSpec.serializer(), mintpick.Samples.spec("req-000009")) as JsonObject
+        val whole = WireJson.encodeToJsonElement(JobSpec.serializer(), SampleJobs.spec("req-000009")) as JsonObject
         return Submission.parse(JsonObject(whole + ("waits_on" to WireJson.parseToJsonElement(value))).toString())
     }
 
