--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -124,7 +124,7 @@
     }
 
     /** Whether `/up` says that requests may come here, as of the last step. */
-    val isUp: Boolean get() = health.up()
+    val isUp: Boolean get() = health.isUp()
 
     /**
      * Takes [events] in their order and does what time calls for.
@@ -168,8 +168,8 @@
     }
 
     private fun driveAgents() {
-        val touched = context.cache.touched.toSet()
-        context.cache.touched.clear()
+        val touched = context.cache.changedMachines.toSet()
+        context.cache.changedMachines.clear()
         agents.tick(touched)
         preemptionPlanner.tick(touched)
         reconciler.reconcile(touched + agents.takeMachinesHeard())
--- a/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
@@ -30,7 +30,7 @@
 
     /** Runs a cycle if the last one is long enough ago and a transaction may leave. */
     fun tick() {
-        if (context.now < nextCycleUs || !jobUpdates.hasRoom) return
+        if (context.now < nextCycleUs || !jobUpdates.canSend) return
         nextCycleUs = context.now + CYCLE_INTERVAL
         val drafts = LinkedHashMap<JobId, JobUpdate>()
         val draftOf: (JobId) -> JobUpdate? = { id -> drafts[id] ?: newDraft(id)?.also { drafts[id] = it } }
@@ -60,9 +60,9 @@
      * waits until nothing else needs the writes: that they are cancelled is known anyway.
      */
     private fun draftFinalRecords(draftOf: (JobId) -> JobUpdate?) {
-        val writes = jobUpdates.budget() - RESERVED_WRITES
+        val writes = jobUpdates.writeBudget() - RESERVED_WRITES
         if (writes <= 0) return
-        val own = context.cache.closableJobs().filter { shardClaims.preferredController(it.id) == context.self }
+        val own = context.cache.finalizableJobs().filter { shardClaims.preferredController(it.id) == context.self }
         own.take(minOf(writes, MAX_FINAL_RECORDS)).toList().forEach { draftOf(it.id)?.writeFinalRecord() }
     }
 
--- a/src/main/kotlin/mintpick/engine/StatusReporter.kt
+++ b/src/main/kotlin/mintpick/engine/StatusReporter.kt
@@ -39,7 +39,7 @@
             use = context.settings.teams.associate { it.name to usageAccounting.use(it.name) },
             stateLatencyMs = stateStore.latencyMs(),
             waitingForPredecessors = cache.dependencies.waitingCount,
-            withdrawnJobs = cache.closableJobs().count { !it.isReleased },
+            withdrawnJobs = cache.finalizableJobs().count { !it.isReleased },
             recordFormat = formats.current.name.lowercase(),
             formatLevels = formats.levels(),
             limits = limits(),
--- a/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
@@ -108,6 +108,6 @@
     /** To be called in each step after all judgements: sends [touched] machines what changed for them, and confirms others. */
     fun tick(touched: Collection<MachineId>) {
         reachability.updateCutOff()
-        if (health.healthy()) dispatcher.tick(touched)
+        if (health.isHealthy()) dispatcher.tick(touched)
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
@@ -55,7 +55,7 @@
             return
         }
         val claim = shardClaims.control(machine) ?: return
-        if (!shardClaims.isOwn(claim) || !health.healthy() || index.isTerminated(machine)) return
+        if (!shardClaims.isOwn(claim) || !health.isHealthy() || index.isTerminated(machine)) return
         val view = index.viewOrCreate(machine)
         val address = addressOf(view) ?: return
         val commands = if (view.latest == null) emptyList() else commandPlanner.commandsFor(view, claim)
@@ -165,7 +165,7 @@
 
     /** Beyond a partition a few calls are enough to see when it ends; the rest would only take time and sockets. */
     private fun maxSuspectCalls(machine: MachineId): Int {
-        val isWayOpen = health.openSince(cache.machines[machine]?.record?.zone) != null
+        val isWayOpen = health.zoneReachableSince(cache.machines[machine]?.record?.zone) != null
         return if (isWayOpen) MAX_SUSPECT_CALLS else MAX_CALLS_BEYOND_PARTITION
     }
 
@@ -212,7 +212,7 @@
         for (machine in index.controlled) {
             val view = index.view(machine)
             val claim = shardClaims.control(machine) ?: continue
-            if (view != null && hasLostStart(view)) shardClaims.raise(machine, "lost-start")
+            if (view != null && hasLostStart(view)) shardClaims.raiseToken(machine, "lost-start")
             if (confirmations < MAX_CONFIRMATIONS && isConfirmationDue(machine, view, claim)) {
                 confirmations++
                 callsByMachine.getOrPut(machine) { DirectCalls() }.confirmAfterUs = context.now + CONFIRM_INTERVAL
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
@@ -50,10 +50,10 @@
         if (claim.node != context.self) return answerUncontrolled(view, report, claim, scope)
         if (claim.version < report.token) {
             // Either a borrowing has ended, or another controller has taken over and we do not know it yet.
-            shardClaims.raise(view.id, "seen-higher")
+            shardClaims.raiseToken(view.id, "seen-higher")
             return misdirected()
         }
-        if (!health.mayAnswerWorkers()) return misdirected()
+        if (!health.mayAnswerAgents()) return misdirected()
         unservedMachines.forget(view.id)
         return answerControlled(view, claim, scope)
     }
@@ -89,7 +89,7 @@
     private fun mayAnswerOnBehalf(
         report: MachineReport,
         claim: Claim,
-    ): Boolean = report.zone == context.settings.zone && claim.version >= report.token && health.mayAnswerFor(claim.node)
+    ): Boolean = report.zone == context.settings.zone && claim.version >= report.token && health.mayAnswerOnBehalfOf(claim.node)
 
     /**
      * In a partition that cuts off our zone we keep the leases of other controllers' machines here alive, with their fencing
--- a/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
@@ -27,7 +27,7 @@
 
     /** The transaction for [changes]; null if nothing of them can be written now. */
     fun build(changes: MachineListChanges): MachineListTransaction? {
-        val layout = MachineListLayout(cache.tablesOf(changes.partition), formats.valueBytes, formats.current)
+        val layout = MachineListLayout(cache.machineListsOf(changes.partition), formats.valueBytes, formats.current)
         val placed = applyTo(layout, changes)
         val reserved = minOf(MAX_OBSOLETE_RECORDS * 2, maxOperations / 2)
         val pieces = layout.changed(maxOf(1, maxOperations - reserved), MAX_BYTES)
--- a/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
+++ b/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
@@ -108,7 +108,7 @@
         outcomes: TaskOutcomes,
     ) {
         for ((task, attempt) in outcomes.endedOf(draft.before.id)) {
-            val mayRequeue = outcomes.isTerminated || draft.guard(shardClaims.guards(machine))
+            val mayRequeue = outcomes.isTerminated || draft.addMachineGuards(shardClaims.guards(machine))
             if (mayRequeue) draft.requeue(task.index, Placement(machine, attempt))
         }
     }
--- a/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
@@ -36,7 +36,7 @@
      */
     fun isUnserved(machine: MachineId): Boolean {
         val controller = shardClaims.control(machine)?.node
-        if (!health.healthy() || controller == null || controller == context.self || !shardClaims.isLive(controller)) return false
+        if (!health.isHealthy() || controller == null || controller == context.self || !shardClaims.isLive(controller)) return false
         val seen = count(machine)
         // Whoever has just claimed it is alive to the state service, though we may not hear them: they are tried first.
         // While controllers refused each other's connections, shards once went back and forth until leases expired.
--- a/src/main/kotlin/mintpick/engine/cache/JobCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -56,7 +56,7 @@
     }
 
     /** Cancelled jobs without a task left, whose records are not final yet. */
-    fun closableJobs(): Sequence<Job> = closableIds.asSequence().mapNotNull { jobsById[it] }
+    fun finalizableJobs(): Sequence<Job> = closableIds.asSequence().mapNotNull { jobsById[it] }
 
     /** The main record of [id] was written, or deleted if [value] is null. */
     fun applyJob(
--- a/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -26,10 +26,10 @@
     private val versions = Object2LongOpenHashMap<String>()
 
     /** Machines whose assigned tasks or records have changed since this was last emptied. */
-    val touched: MutableSet<MachineId> = HashSet()
-    private val placementIndex = PlacementIndex(touched)
+    val changedMachines: MutableSet<MachineId> = HashSet()
+    private val placementIndex = PlacementIndex(changedMachines)
     private val jobCache = JobCache(placementIndex)
-    private val machineCache = MachineCache(touched)
+    private val machineCache = MachineCache(changedMachines)
     private val claimCache = ClaimCache()
     private val controllerCache = ControllerCache()
 
@@ -44,7 +44,7 @@
     val dependencies: DependencyGraph get() = jobCache.dependencies
 
     /** Jobs with specifications stored in pieces of their own, whether there is such a job or not. */
-    val specsApart: Set<JobId> get() = jobCache.specPieces.jobs
+    val jobsWithSpecPieces: Set<JobId> get() = jobCache.specPieces.jobs
 
     /** Claims by shard. */
     val claims: Map<Int, Claim> get() = claimCache.claims
@@ -65,7 +65,7 @@
     val types: Map<String, MachineType> get() = machineCache.types
 
     /** How many pieces the machine types are stored in. */
-    val typePieceCount: Int get() = machineCache.typePieceCount
+    val machineTypePieceCount: Int get() = machineCache.machineTypePieceCount
 
     /** Processors of all machines, computed anew when [controlEpoch] has risen. */
     val cpus: Double get() = machineCache.cpus(controlEpoch)
@@ -104,7 +104,7 @@
      * Cancelled jobs without a task left, whose records are not final yet: those withdrawn with a predecessor, and large
      * ones, of which a task may have been placed unseen until their cancellation was stored.
      */
-    fun closableJobs(): Sequence<Job> = jobCache.closableJobs()
+    fun finalizableJobs(): Sequence<Job> = jobCache.finalizableJobs()
 
     /** Piece [index] of [id]'s specification; null: not known. */
     fun specPiece(
@@ -113,7 +113,7 @@
     ): String? = jobCache.specPieces.piece(id, index)
 
     /** Numbers of the pieces of [id]'s specification. */
-    fun specPiecesOf(id: JobId): Set<Int> = jobCache.specPieces.pieceNumbers(id)
+    fun specPieceNumbers(id: JobId): Set<Int> = jobCache.specPieces.pieceNumbers(id)
 
     /** The version of [key] as it is known, deletions included; 0: never seen. */
     fun version(key: String): Long = versions.getLong(key)
@@ -134,7 +134,7 @@
     fun usedBy(team: String): Resources = placementIndex.usedBy(team)
 
     /** The machines of one partition, by the pieces that its list is stored in. */
-    fun tablesOf(part: Int): Map<Int, Map<MachineId, MachineRecord>> = machineCache.listsOf(part)
+    fun machineListsOf(part: Int): Map<Int, Map<MachineId, MachineRecord>> = machineCache.listsOf(part)
 
     /** Notes that everything up to [revision] has been applied. */
     fun reached(revision: Long) {
--- a/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
@@ -30,7 +30,7 @@
         private set
 
     /** How many pieces the machine types are stored in. */
-    val typePieceCount: Int get() = typePieces.size
+    val machineTypePieceCount: Int get() = typePieces.size
 
     /** Rises whenever a machine's record or a list of machines changes. */
     var epoch = 0L
--- a/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
@@ -27,7 +27,7 @@
             val sinceUs = borrowedSinceUs.getOrPut(machine) { context.now }
             val isWanted = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
             val isDue = !isWanted && context.now - sinceUs > MIN_BORROW_TIME
-            if (isDue && stateStore.writesAllowed() > RESERVED_WRITES) shardClaims.giveBack(machine)
+            if (isDue && stateStore.writesAllowed() > RESERVED_WRITES) shardClaims.returnBorrowed(machine)
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/capacity/LeaderStatus.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/LeaderStatus.kt
@@ -20,7 +20,7 @@
     val servingForUs: Micros get() = context.now - stateStore.servingSinceUs
 
     /** Whether the state service answers this controller. */
-    val isHealthy: Boolean get() = health.healthy()
+    val isHealthy: Boolean get() = health.isHealthy()
 
     /** A leader that the state service does not answer has perhaps been replaced already. */
     val isActiveLeader: Boolean get() = shardClaims.isLeader && isHealthy
--- a/src/main/kotlin/mintpick/engine/capacity/MachineMonitor.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/MachineMonitor.kt
@@ -20,7 +20,7 @@
 
     /** Makes the checks when they are due, unless this controller itself is unhealthy. */
     fun tick() {
-        if (!health.healthy() || context.now < nextCheckUs) return
+        if (!health.isHealthy() || context.now < nextCheckUs) return
         nextCheckUs = context.now + CHECK_INTERVAL
         unresponsiveMachines.check()
         noticedMachines.drain()
--- a/src/main/kotlin/mintpick/engine/capacity/MachineTypeCatalog.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/MachineTypeCatalog.kt
@@ -46,7 +46,7 @@
     private fun store(types: List<MachineType>) {
         val pieces = MachineTypePieces.encode(types, formats.valueBytes, formats.current == RecordFormat.VERBOSE)
         val writes = pieces.mapIndexed { i, value -> Write(Keys.types(i), value) }
-        val obsolete = (pieces.size until cache.typePieceCount).map { Write(Keys.types(it), null) }
+        val obsolete = (pieces.size until cache.machineTypePieceCount).map { Write(Keys.types(it), null) }
         (writes + obsolete)
             .chunked(context.settings.limits.transactionOps)
             .forEach { stateStore.transact(emptyList(), it) { } }
--- a/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
@@ -113,7 +113,7 @@
      * moment the first of its controllers was heard again, for calls that had failed during the partition.
      */
     private fun isZoneReachable(view: MachineView): Boolean {
-        val sinceUs = health.openSince(zoneOf(view)) ?: return false
+        val sinceUs = health.zoneReachableSince(zoneOf(view)) ?: return false
         return sinceUs == 0L || context.now - sinceUs > maxReportGapUs
     }
 
@@ -131,7 +131,7 @@
     ): Micros {
         val leaseUs = context.settings.leaseUs
         return when {
-            !wasZoneReachable -> leaseUs * PARTITIONED_LEASES + LEASE_MARGIN + health.standInSpan(zoneOf(view))
+            !wasZoneReachable -> leaseUs * PARTITIONED_LEASES + LEASE_MARGIN + health.maxRenewalOnBehalfUs(zoneOf(view))
             // A controller that reaches them adopts them by then.
             agents.isCutOff -> leaseUs + LEASE_MARGIN
             mayBeOwnFault -> minOf(maxReportGapUs + ADOPTION_TIME, leaseUs)
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdates.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdates.kt
@@ -34,7 +34,7 @@
     private val submissionWrites = (context.settings.limits.writeRps / (context.settings.peers.size + 1) * SUBMISSION_WRITE_SHARE).toInt()
 
     /** Whether at least one transaction may leave now. */
-    val hasRoom: Boolean get() = sender.canSend
+    val canSend: Boolean get() = sender.canSend
 
     /** Whether [job] may be planned: nothing of it is in flight, and its records are current. */
     fun isFree(job: JobId): Boolean = sender.availability.isFree(job)
@@ -46,7 +46,7 @@
     fun isTeamFree(team: String): Boolean = sender.isTeamFree(team)
 
     /** How many writes drafts may use now. */
-    fun budget(): Int = if (hasRoom) stateStore.writesAllowed() - submissionWrites else 0
+    fun writeBudget(): Int = if (canSend) stateStore.writesAllowed() - submissionWrites else 0
 
     /**
      * Sends pending submissions and then [drafts], as far as the limits allow. While placements wait for writes
@@ -58,7 +58,7 @@
     ): Boolean {
         // In transactions of their own: conflicts of drafts must not hold submissions up.
         sender.send(submissionWriter.parts(), reservedWrites = 0)
-        val parts = drafts.filter { it.changed }.map(partBuilder::build)
+        val parts = drafts.filter { it.hasChanges }.map(partBuilder::build)
         val allowed = if (placementsWait) writeArbiter.prioritize(parts) else parts
         val sent = sender.send(allowed, submissionWrites)
         writeArbiter.onSent(sent, placementsWait)
--- a/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
@@ -36,7 +36,7 @@
     }
 
     private fun noteUnused() {
-        val unused = cache.specsApart.filter { cache.job(it) == null && it !in pendingRequests.submissions }.toSet()
+        val unused = cache.jobsWithSpecPieces.filter { cache.job(it) == null && it !in pendingRequests.submissions }.toSet()
         unusedSinceUs.keys.retainAll(unused)
         unused.forEach { unusedSinceUs.putIfAbsent(it, context.now) }
     }
@@ -46,14 +46,14 @@
         return context.now - sinceUs > retention(job) && shardClaims.preferredController(job) == context.self
     }
 
-    /** A user who was not told of the acceptance may submit the same job again for a minute. */
+    /** A user who did not hear of the acceptance may submit the same job again for a minute. */
     private fun retention(job: JobId): Micros = if (cache.final(job) == null) UNFINISHED_RETENTION else FINAL_RETENTION
 
     private fun remove(job: JobId) {
         if (isRemoving || stateStore.writesAllowed() < SPARE_WRITES) return
         val keys =
             cache
-                .specPiecesOf(job)
+                .specPieceNumbers(job)
                 .sortedDescending()
                 .take(context.settings.limits.transactionOps)
                 .map { Keys.spec(job.text, it) }
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionPartBuilder.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionPartBuilder.kt
@@ -34,7 +34,7 @@
         draft: JobUpdate,
         job: Job,
     ): TransactionPart {
-        val touched = draft.touched
+        val touched = draft.changedChunks
         return TransactionPart(
             job = job.id,
             guards = guards(draft, job, touched),
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -82,7 +82,7 @@
                 batch.add(part)
                 sent += part
             } else {
-                LOG.error("change of job={} fits no transaction: {} B", part.job.text, part.bytes)
+                LOG.error("update fits no transaction job={} bytes={}", part.job.text, part.bytes)
             }
         }
         if (!batch.isEmpty) transact(batch.parts)
--- a/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -23,13 +23,13 @@
     private val cancellations = PeerCancellations(context, stateStore)
     private val stateAgeUs: Micros get() = stateStore.lastServedUs?.let { context.now - it } ?: Long.MAX_VALUE
 
-    /** For how long agents' leases may be renewed without news of cancellations: see [mayAnswerWorkers]. */
+    /** For how long agents' leases may be renewed without news of cancellations: see [mayAnswerAgents]. */
     private val maxRenewalUs: Micros = context.settings.cancelUs - context.settings.leaseUs - CANCELLATION_MARGIN
 
     /** To be called in each step: notes which peers the state service has no lease of any more, while it serves us. */
     fun tick() {
         cancellations.forgetRecorded()
-        if (healthy()) {
+        if (isHealthy()) {
             contacts.observeLeases()
         } else {
             contacts.clearLeases()
@@ -90,7 +90,7 @@
     ): Boolean = hints.heardFromZone(zone, since)
 
     /** Since when the way to [zone] has been open without a break, by the same peers as [heardFromZone]; null: it may not be. */
-    fun openSince(zone: String?): Micros? = hints.openSince(zone)
+    fun zoneReachableSince(zone: String?): Micros? = hints.zoneReachableSince(zone)
 
     /**
      * Whether [machine] has sent a heartbeat to some other controller [within] this time, as far as hints show; [to] narrows
@@ -103,13 +103,13 @@
     ): Boolean = hints.heardElsewhere(machine, to, within)
 
     /** Whether the state service serves us and our lease holds. */
-    fun healthy(): Boolean = stateStore.isServing && stateAgeUs < MAX_HEALTHY_STATE_AGE
+    fun isHealthy(): Boolean = stateStore.isServing && stateAgeUs < MAX_HEALTHY_STATE_AGE
 
     /** Whether the state service serves some peer while it does not serve us. */
     fun peersServed(): Boolean = hints.isAnyServed(since = stateStore.lastServedUs ?: 0)
 
     /** What `/up` says: not down in a shared outage, where no other controller would do better. */
-    fun up(): Boolean = stateStore.isServing && (stateAgeUs < MAX_UP_STATE_AGE || !peersServed())
+    fun isUp(): Boolean = stateStore.isServing && (stateAgeUs < MAX_UP_STATE_AGE || !peersServed())
 
     /** Whether a task may still be started: not when its cancellation may have been confirmed for longer than a moment. */
     fun mayStartTasks(): Boolean = cancellations.unknownForUs() < MAX_START_CANCELLATION_AGE
@@ -119,7 +119,7 @@
      * a peer could serve them, or a cancellation that we do not know of might be overdue: then their leases must expire in
      * time. No message has to arrive for that; without one the leases end.
      */
-    fun mayAnswerWorkers(): Boolean {
+    fun mayAnswerAgents(): Boolean {
         if (cancellations.unknownForUs() >= maxRenewalUs) return false
         return stateAgeUs < MAX_KEPT_STATE_AGE || !peersServed()
     }
@@ -130,7 +130,7 @@
      * [owner], and a cancellation that we can't know of is not overdue. [answeredOnBehalfUntil] is what that controller
      * takes into account for it.
      */
-    fun mayAnswerFor(owner: NodeId): Boolean {
+    fun mayAnswerOnBehalfOf(owner: NodeId): Boolean {
         if (stateAgeUs < MAX_KEPT_STATE_AGE || hears(owner) || peersServed()) return false
         val recordsKnownUs = stateStore.recordsKnownUs ?: return false
         return context.now - recordsKnownUs < maxRenewalUs
@@ -143,7 +143,7 @@
     fun answeredOnBehalfUntil(zone: String?): Micros? = contacts.answeredOnBehalfUntil(zone, maxRenewalUs)
 
     /** For how long at most another controller in [zone] may renew leases of our agents on our behalf, in microseconds. */
-    fun standInSpan(zone: String?): Micros = if (context.settings.peers.any { it.zone == zone }) maxRenewalUs else 0
+    fun maxRenewalOnBehalfUs(zone: String?): Micros = if (context.settings.peers.any { it.zone == zone }) maxRenewalUs else 0
 
     private companion object {
         /** How much later than its interval demands a heartbeat may show in a peer's hint. */
--- a/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
+++ b/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
@@ -57,7 +57,7 @@
     }
 
     /** See [ShardClaims.raise]. */
-    fun raise(
+    fun raiseToken(
         machine: MachineId,
         reason: String,
     ) {
@@ -90,8 +90,8 @@
         }
     }
 
-    /** See [ShardClaims.giveBack]. */
-    fun giveBack(machine: MachineId) {
+    /** See [ShardClaims.returnBorrowed]. */
+    fun returnBorrowed(machine: MachineId) {
         if (machine in cache.borrows) writer.delete(borrowTarget(machine))
     }
 
--- a/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
@@ -78,7 +78,7 @@
         return witnesses.isEmpty() || witnesses.any { heardSince(it, since) }
     }
 
-    fun openSince(zone: String?): Micros? {
+    fun zoneReachableSince(zone: String?): Micros? {
         val witnesses = witnesses(zone)
         if (witnesses.isEmpty()) return 0
         return witnesses.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
--- a/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
@@ -100,10 +100,10 @@
     ) = machineControl.takeOver(machine, whole, from, reason, then)
 
     /** Writes the record that commands [machine] anew, so that its token rises above all that was sent before. */
-    fun raise(
+    fun raiseToken(
         machine: MachineId,
         reason: String,
-    ) = machineControl.raise(machine, reason)
+    ) = machineControl.raiseToken(machine, reason)
 
     /**
      * Takes machines from their shards' owners, whose guards fail from the write on: it raises their shards'
@@ -116,7 +116,7 @@
     ) = machineControl.borrow(machines, then)
 
     /** Returns a borrowed machine to its shard; does nothing if it is not borrowed. */
-    fun giveBack(machine: MachineId) = machineControl.giveBack(machine)
+    fun returnBorrowed(machine: MachineId) = machineControl.returnBorrowed(machine)
 
     companion object {
         /** Into how many partitions machines and jobs hash; fixed for ever, since keys and claims depend on it. */
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -154,7 +154,7 @@
             pass.teams.take(job.spec, 1)
             count++
         }
-        pass.writes += maxOf(1, draft.touched.size)
+        pass.writes += maxOf(1, draft.changedChunks.size)
         if (LOG.isDebugEnabled) {
             val isOnAllMachines = rooms !== pass.rooms.own
             LOG.debug("place job={} tasks={} machines={} all_shards={}", job.id.text, count, machines.size, isOnAllMachines)
@@ -169,7 +169,7 @@
     ): Boolean {
         val isBorrowed = machine in cache.borrows
         if (isBorrowed && used.count { it in cache.borrows } >= maxBorrowedMachines) return false
-        return draft.guard(shardClaims.guards(machine))
+        return draft.addMachineGuards(shardClaims.guards(machine))
     }
 
     /** Whether there is room for a task of [job] on [rooms]. False for gangs, for which room for one task says nothing. */
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -108,7 +108,7 @@
         waitingJobs: Int,
     ): PlacementPass {
         val own = Placer.Rooms.of(candidates.ownRooms(jobUpdates))
-        val writeBudget = jobUpdates.budget()
+        val writeBudget = jobUpdates.writeBudget()
         return PlacementPass(
             jobUpdates,
             draftOf,
--- a/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -29,7 +29,7 @@
     val job: Job get() = built ?: build().also { built = it }
 
     /** Indexes of the chunks that have changed. */
-    val touched: Set<Int> get() = edits.filterValues { it.changed }.keys
+    val changedChunks: Set<Int> get() = edits.filterValues { it.changed }.keys
 
     /** What must hold beside the job's own records being unchanged. */
     val guards: Set<Guard> get() = machineGuards
@@ -41,7 +41,7 @@
     val requeued: List<AttemptId> get() = requeuedAttempts
 
     /** Whether there is anything to write. */
-    val changed: Boolean get() = writesFinalRecord || stage != before.stage || edits.values.any { it.changed }
+    val hasChanges: Boolean get() = writesFinalRecord || stage != before.stage || edits.values.any { it.changed }
 
     /** Task number [task] is done. */
     fun finish(task: Int) {
@@ -69,7 +69,7 @@
     }
 
     /** Adds what must hold; false if a transaction has no room for it, and what needs it has to wait for the next one. */
-    fun guard(added: List<Guard>): Boolean {
+    fun addMachineGuards(added: List<Guard>): Boolean {
         if ((machineGuards + added).size > maxMachineGuards) return false
         machineGuards += added
         return true
--- a/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
@@ -89,7 +89,7 @@
             repeat(seconds) { second ->
                 run(SECOND)
                 hear(second + 1)
-                if (health.mayAnswerWorkers()) answeredUntil = now - from
+                if (health.mayAnswerAgents()) answeredUntil = now - from
             }
             return answeredUntil
         }
@@ -98,7 +98,7 @@
     private fun cutOff() =
         Controller().apply {
             run(5 * SECOND)
-            assertTrue(serving && health.mayAnswerWorkers() && health.up())
+            assertTrue(serving && health.mayAnswerAgents() && health.isUp())
             connected = false
         }
 
@@ -107,10 +107,10 @@
     fun `workers are handed over when a peer is served and we are not`() {
         val controller = cutOff()
         controller.run(5 * SECOND)
-        assertTrue(controller.health.mayAnswerWorkers(), "nobody else is known to do better")
+        assertTrue(controller.health.mayAnswerAgents(), "nobody else is known to do better")
         controller.hear("node-1", SECOND / 10)
-        assertFalse(controller.health.mayAnswerWorkers())
-        assertFalse(controller.health.up())
+        assertFalse(controller.health.mayAnswerAgents())
+        assertFalse(controller.health.isUp())
     }
 
     /** In an outage for all, sending workers away would spend their leases on controllers that are no better off. */
@@ -121,8 +121,8 @@
             controller.run(SECOND)
             controller.hearAnswer("node-1", -1)
             controller.hearAnswer("node-2", (it + 1) * SECOND)
-            assertTrue(controller.health.mayAnswerWorkers())
-            assertTrue(controller.health.up())
+            assertTrue(controller.health.mayAnswerAgents())
+            assertTrue(controller.health.isUp())
         }
     }
 
@@ -173,9 +173,9 @@
         controller.hearAnswer("node-2", 10 * SECOND)
         val bound = settings.cancelUs - settings.leaseUs - 5 * SECOND
         controller.run(bound - 3 * SECOND)
-        assertTrue(controller.health.mayAnswerWorkers())
+        assertTrue(controller.health.mayAnswerAgents())
         controller.run(3 * SECOND)
-        assertFalse(controller.health.mayAnswerWorkers())
+        assertFalse(controller.health.mayAnswerAgents())
     }
 
     /** Lease renewals tell nothing of the records: cancellations that these do not show may have been confirmed meanwhile. */
@@ -206,7 +206,7 @@
         val from = controller.now
         while (controller.now - from < 60 * SECOND) {
             controller.step()
-            if (controller.health.mayAnswerWorkers()) answeredUntil = controller.now - from
+            if (controller.health.mayAnswerAgents()) answeredUntil = controller.now - from
         }
         assertTrue(answeredUntil > settings.leaseUs, "services go on for a while: $answeredUntil")
         assertTrue(answeredUntil + settings.leaseUs < settings.cancelUs, "$answeredUntil and a lease are within ${settings.cancelUs}")
