--- a/src/test/kotlin/mintpick/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/mintpick/architecture/DocumentedNamesTest.kt
@@ -38,6 +38,6 @@
         /** A class in backticks, with its packages before it or not, and one of its members. */
         val MEMBER = Regex("""`(?:[a-z]+\.)*([A-Z]\w+)\.(\w+)`""")
         val PAGES =
-            listOf("design", "limits", "meetings", "operations", "questions", "upgrade").map { "docs/$it.md" }
+            listOf("design", "limits", "fault-combinations", "operations", "questions", "upgrade").map { "docs/$it.md" }
     }
 }
--- a/src/test/kotlin/mintpick/engine/EventLoopTest.kt
+++ b/src/test/kotlin/mintpick/engine/EventLoopTest.kt
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `nothing leaves a process that stood still since the step began, and who waits is told to come back`() {
+    fun `nothing leaves a process that was paused since the step began, and who waits is told to come back`() {
         jumpUs.set(5 * SECOND)
         val answer = poll()
         assertEquals(503, answer.status)
--- a/src/test/kotlin/mintpick/simulation/AgentPartitionTest.kt
+++ b/src/test/kotlin/mintpick/simulation/AgentPartitionTest.kt
@@ -42,7 +42,7 @@
         val lapsed = cluster.workers.values.filter { it.session > (sessions[it.id] ?: 1) }
         assertEquals(emptyList<String>(), lapsed.map { it.id }, "machines whose leases lapsed although others could serve them")
         cut.cutFromWorkers = false
-        cluster.rules.calmSinceUs = cluster.now
+        cluster.rules.faultsOverSinceUs = cluster.now
         cluster.run(215 * SECOND)
         assertTrue(cluster.claimsOf(cut) > 0, "it serves again")
         cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/simulation/CancellationBoundTest.kt
+++ b/src/test/kotlin/mintpick/simulation/CancellationBoundTest.kt
@@ -26,7 +26,7 @@
  * meanwhile, the tasks of those jobs are gone within `cancel_s` of the confirmation.
  */
 class CancellationBoundTest {
-    private class Meeting(
+    private class Scenario(
         val cluster: SimulatedCluster,
     ) {
         val leader: SimulatedCluster.Node = cluster.leader()
@@ -54,36 +54,36 @@
     private fun service(n: Int): JobSpec = SampleJobs.service(n, spread = true)
 
     /**
-     * Brings the meeting about: the leader is refused from 60 s on, all jobs but the first two are cancelled through the
-     * others, and the state service is out from 62 s on for [outage]. [meanwhile] adds a further trouble.
+     * Brings the scenario about: the leader is refused from 60 s on, all jobs but the first two are cancelled through the
+     * others, and the state service is out from 62 s on for [outage]. [meanwhile] adds a further fault.
      */
     private fun play(
         seed: Long,
         outage: Micros = 55 * SECOND,
-        meanwhile: Meeting.() -> Unit,
-    ): Meeting {
+        meanwhile: Scenario.() -> Unit,
+    ): Scenario {
         val cluster = SimulatedCluster(seed, FaultRates()) { SampleJobs.settings(it) }
         (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
         cluster.run(60 * SECOND)
-        val meeting = Meeting(cluster)
-        meeting.leader.cutFromState = true
+        val scenario = Scenario(cluster)
+        scenario.leader.cutFromState = true
         (3..JOBS).forEach { n ->
             val at = SECOND + n * 40 * MILLI
-            cluster.after(at) { meeting.cancel("req-%06d".format(n), meeting.others[n % meeting.others.size]) }
+            cluster.after(at) { scenario.cancel("req-%06d".format(n), scenario.others[n % scenario.others.size]) }
         }
         cluster.after(2 * SECOND) { cluster.state.out = true }
         cluster.after(2 * SECOND + outage) { cluster.state.out = false }
-        cluster.after(14 * SECOND) { meeting.leader.cutFromState = false }
-        meeting.meanwhile()
+        cluster.after(14 * SECOND) { scenario.leader.cutFromState = false }
+        scenario.meanwhile()
         cluster.run(62 * SECOND + outage + 20 * SECOND)
-        assertTrue(meeting.confirmed.size > 2, "confirmed before the outage: ${meeting.confirmed}")
+        assertTrue(scenario.confirmed.size > 2, "confirmed before the outage: ${scenario.confirmed}")
         cluster.assertRulesHeld()
-        return meeting
+        return scenario
     }
 
-    private val faults: Map<String, Meeting.() -> Unit> =
+    private val faults: Map<String, Scenario.() -> Unit> =
         mapOf(
-            "no further trouble" to { },
+            "no further fault" to { },
             "the confirming controllers end right after it and return unable to load" to {
                 cluster.after(2100 * MILLI) { others.forEach { it.crash(300 * MILLI) } }
             },
@@ -123,7 +123,7 @@
             (1L..3L).map { seed -> DynamicTest.dynamicTest("$name, seed $seed") { play(seed, meanwhile = fault) } }
         }
 
-    /** Meeting 11: there is no outage, so the old leader's part passes on while it still answers its workers. */
+    /** Scenario 11: there is no outage, so the old leader's part passes on while it still answers its workers. */
     @TestFactory
     fun `jobs are cancelled through the new leader while the old one has its workers alone`() =
         (11L..14L).map { seed ->
@@ -131,33 +131,33 @@
                 val cluster = SimulatedCluster(seed, FaultRates()) { SampleJobs.settings(it) }
                 (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
                 cluster.run(60 * SECOND)
-                val meeting = Meeting(cluster)
-                meeting.leader.cutFromState = true
-                meeting.leader.cutFromPeers = true
+                val scenario = Scenario(cluster)
+                scenario.leader.cutFromState = true
+                scenario.leader.cutFromPeers = true
                 (3..JOBS).forEach { n ->
-                    cluster.after(n * 2 * SECOND) { meeting.cancel("req-%06d".format(n), meeting.others[n % 2]) }
+                    cluster.after(n * 2 * SECOND) { scenario.cancel("req-%06d".format(n), scenario.others[n % 2]) }
                 }
                 cluster.run(130 * SECOND)
-                assertTrue(cluster.leader() !== meeting.leader, "another one leads")
-                meeting.leader.cutFromState = false
-                meeting.leader.cutFromPeers = false
+                assertTrue(cluster.leader() !== scenario.leader, "another one leads")
+                scenario.leader.cutFromState = false
+                scenario.leader.cutFromPeers = false
                 cluster.run(160 * SECOND)
-                assertEquals(JOBS - 2, meeting.confirmed.size)
+                assertEquals(JOBS - 2, scenario.confirmed.size)
                 cluster.assertRulesHeld()
             }
         }
 
-    /** Meeting 25: answers take up to three seconds while users cancel, and then nobody is served. */
+    /** Scenario 25: answers take up to three seconds while users cancel, and then nobody is served. */
     @TestFactory
     fun `jobs are cancelled while the state service is slow and then out`() =
         (21L..24L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val meeting =
+                val scenario =
                     play(seed) {
                         cluster.stateStoreFaults.slow = 300
                         cluster.after(20 * SECOND) { cluster.stateStoreFaults.slow = 0 }
                     }
-                assertTrue(meeting.cluster.stateStoreFaults.slowAnswers > 0, "answers were slow")
+                assertTrue(scenario.cluster.stateStoreFaults.slowAnswers > 0, "answers were slow")
             }
         }
 
--- a/src/test/kotlin/mintpick/simulation/DependentJobsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/DependentJobsTest.kt
@@ -58,7 +58,7 @@
             .copy(predecessors = needs.map { "req-%06d".format(it) }.ifEmpty { null })
 
     @TestFactory
-    fun `pipelines of all shapes run in order through drawn troubles`() =
+    fun `pipelines of all shapes run in order through drawn faults`() =
         (401L..408L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 20))
@@ -78,7 +78,7 @@
                         )
                     }
                 }
-                cluster.after(110 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+                cluster.after(110 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
                 cluster.run(330 * SECOND)
                 cluster.rules.checkServed(cluster.now)
                 cluster.assertRulesHeld()
@@ -182,7 +182,7 @@
         assertEquals(200 to JobStage.DONE, cluster.poll(1, 3))
     }
 
-    /** The worst meeting known: confirmed, then an outage longer than a cancellation has, in which controllers start anew. */
+    /** The worst scenario known: confirmed, then an outage longer than a cancellation has, in which controllers start anew. */
     @Test
     fun `jobs behind a cancelled one are never called open again, through an outage and restarts`() {
         val cluster = cluster(414)
--- a/src/test/kotlin/mintpick/simulation/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GuardsTest.kt
@@ -307,7 +307,7 @@
         (1..600).forEach { n -> cluster.after(n * SECOND / 12) { cluster.user(batch(n, estimateS = 1.0), null) } }
         cluster.run(120 * SECOND)
         repeat(3) { i -> cluster.after(i * 2 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } } }
-        cluster.after(5 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+        cluster.after(5 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
         cluster.run(205 * SECOND)
         cluster.assertRulesHeld()
         assertEquals(600, (1..600).count { cluster.rules.isFinal("req-%06d".format(it)) })
--- a/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
@@ -103,7 +103,7 @@
     ): Boolean = commands.any { it.verb == Verb.START && it.task.startsWith(job) }
 
     /**
-     * Meeting 10: a start is held up for a minute, its repetition with the same token is answered, and the job is
+     * Scenario 10: a start is held up for a minute, its repetition with the same token is answered, and the job is
      * cancelled: unless the token rises all the same, the first one runs it again after `cancel_s`.
      */
     @TestFactory
@@ -139,7 +139,7 @@
         }
 
     /**
-     * Meeting 12: the leader borrows a machine, sends it a start and ends; the start is held up. The machine's owner,
+     * Scenario 12: the leader borrows a machine, sends it a start and ends; the start is held up. The machine's owner,
      * whose claim is older than the borrowing, goes on with a token that the start exceeds.
      */
     @Test
@@ -207,7 +207,7 @@
         assertNoBreach()
     }
 
-    /** Meeting 3: a report from before a machine's tasks came, or from its earlier session, would prove them gone. */
+    /** Scenario 3: a report from before a machine's tasks came, or from its earlier session, would prove them gone. */
     @TestFactory
     fun `an old report after newer ones proves nothing`() =
         listOf("same session", "earlier session").map { name ->
@@ -244,7 +244,7 @@
         cluster.assertKeptUntilHeard(machine)
     }
 
-    /** Meeting 2: what can't be asked stays where it is until its lease has lapsed, and never runs twice. */
+    /** Scenario 2: what can't be asked stays where it is until its lease has lapsed, and never runs twice. */
     @TestFactory
     fun `long tasks on machines out of touch survive the end of a leader`() =
         listOf(8L to false, 8L to true, 30L to false, 30L to true).map { (span, deaf) ->
@@ -270,7 +270,7 @@
         }
 
     /**
-     * Meeting 22: leases lapse again and again though commands arrive. What lapsed was not sent again until reports
+     * Scenario 22: leases lapse again and again though commands arrive. What lapsed was not sent again until reports
      * came, minutes later; and what is sent counts, though nobody's answer renews a lease.
      */
     @TestFactory
@@ -316,7 +316,7 @@
                     val spec = batch(n, tasks = 1 + cluster.random.nextInt(4), estimateS = 3.0 + cluster.random.nextInt(30))
                     cluster.after(20 * SECOND + cluster.random.nextLong(90 * SECOND)) { cluster.user(spec, cancelAfter) }
                 }
-                repeat(5) { cluster.after((35L + it * 18) * SECOND) { cluster.meeting() } }
+                repeat(5) { cluster.after((35L + it * 18) * SECOND) { cluster.scenario() } }
                 cluster.run(260 * SECOND)
                 assertTrue(cluster.messageDelays.leadersReached > 0, "copies met a new leader")
                 val late = cluster.messageDelays.held.mapNotNullTo(HashSet()) { it.status }
@@ -325,7 +325,7 @@
             }
         }
 
-    private fun SimulatedCluster.meeting() {
+    private fun SimulatedCluster.scenario() {
         leader().crash(random.nextLong(8 * SECOND))
         val some = workers.values.filter { random.nextInt(4) == 0 }
         val span = 3 * SECOND + random.nextLong(30 * SECOND)
--- a/src/test/kotlin/mintpick/simulation/LeadershipFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/LeadershipFaultCombinationsTest.kt
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Two troubles that meet at changes of leader, zones and limits: each comes about, and leaves nothing stuck. */
+/** Two faults that meet at changes of leader, zones and limits: each comes about, and leaves nothing stuck. */
 class LeadershipFaultCombinationsTest {
     private fun cluster(
         seed: Long,
@@ -75,9 +75,9 @@
         }
     }
 
-    /** Runs on after the last trouble, and checks all rules, also that nothing is left waiting or unanswered. */
-    private fun SimulatedCluster.calm(span: Micros = 130 * SECOND) {
-        rules.calmSinceUs = now
+    /** Runs on after the last fault, and checks all rules, also that nothing is left waiting or unanswered. */
+    private fun SimulatedCluster.recover(span: Micros = 130 * SECOND) {
+        rules.faultsOverSinceUs = now
         WaitingJobRule(this, nodes[0].settings.teams.associate { it.name to it.cpusMax }).watch()
         run(now + span)
         assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
@@ -108,7 +108,7 @@
         val cluster = partlyFilled(201, 9)
         val gang = gang(20, 9)
         cluster.user(gang, null)
-        cluster.calm(100 * SECOND)
+        cluster.recover(100 * SECOND)
         assertTrue(cluster.isRunning(gang))
     }
 
@@ -131,7 +131,7 @@
         cluster.run(230 * SECOND)
         val gang = gang(20, 14)
         cluster.user(gang, null)
-        cluster.calm(100 * SECOND)
+        cluster.recover(100 * SECOND)
         assertTrue(cluster.isRunning(gang))
     }
 
@@ -154,7 +154,7 @@
                 cluster.run(50 * SECOND + 25 * SECOND + (seed - 210) * 10 * SECOND)
                 cluster.zoneOut = null
                 lost.forEach(cluster::remove)
-                cluster.calm()
+                cluster.recover()
                 (1..10).forEach { n -> assertTrue(cluster.isRunning(n), id(n)) }
             }
         }
@@ -179,7 +179,7 @@
                 cluster.after(75 * SECOND) { cluster.state.out = false }
                 cluster.run(150 * SECOND)
                 assertTrue(leaders.size - before >= 10, "${leaders.size - before} changes")
-                cluster.calm()
+                cluster.recover()
             }
         }
 
@@ -209,7 +209,7 @@
         cluster.run(120 * SECOND)
         (51..60).forEach { n -> assertTrue(cluster.isRunning(n), "urgent ${id(n)}") }
         cluster.run(140 * SECOND)
-        cluster.calm(200 * SECOND)
+        cluster.recover(200 * SECOND)
     }
 
     /** What may still run on machines that nobody can ask counts for its team, also for a new leader. */
@@ -246,7 +246,7 @@
                 cluster.zonesCut = false
                 cluster.cloud.out = false
                 assertNotEquals(before, cluster.leadership())
-                cluster.calm()
+                cluster.recover()
                 assertEquals(listOf(24.0, BLUE), teams.map { cluster.usedBy(it) }, "both are at their limit again")
             }
         }
@@ -270,7 +270,7 @@
         cluster.run(75 * SECOND)
         assertEquals(emptySet<String>(), cluster.rules.running.keys)
         cluster.run(81 * SECOND)
-        cluster.calm()
+        cluster.recover()
         (1..16).forEach { n -> assertEquals(n < 7 || n % 3 != 0, cluster.isRunning(n), id(n)) }
     }
 
@@ -296,7 +296,7 @@
                 cluster.nodes.forEach { it.crash(3 * SECOND) }
                 if (machineGone) holders.forEach { cluster.remove(it.id) }
                 cluster.run(cluster.now + 4 * SECOND)
-                cluster.calm(160 * SECOND)
+                cluster.recover(160 * SECOND)
                 val starts = unwritten.map { cluster.rules.startsOf[it] }.toSet()
                 assertEquals(setOf(if (machineGone) 2 else 1), starts)
                 assertTrue(jobs.all { cluster.rules.isFinal(it.id) }, "all are done")
@@ -352,7 +352,7 @@
                 cluster.after(13 * SECOND) { cluster.leader().crash(SECOND / 5) }
                 cluster.run(76 * SECOND)
                 assertTrue(late > 0, "requests of an ended process arrived")
-                cluster.calm()
+                cluster.recover()
                 assertTrue((6..60).all { cluster.rules.isFinal(id(it)) })
             }
         }
--- a/src/test/kotlin/mintpick/simulation/ModelTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ModelTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Drives three engines through drawn troubles and checks the rules from the stand-ins' own view. */
+/** Drives three engines through drawn faults and checks the rules from the simulated services' own view. */
 class ModelTest {
     private fun cluster(
         seed: Long,
@@ -60,7 +60,7 @@
     }
 
     @TestFactory
-    fun `rules hold through drawn troubles`() =
+    fun `rules hold through drawn faults`() =
         (1L..14L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates(lost = 4, lostAnswer = 4, late = 6))
--- a/src/test/kotlin/mintpick/simulation/ProcessPauseTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ProcessPauseTest.kt
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** Controllers that stand still for seconds or a minute and then go on, their clocks having gone on meanwhile. */
+/** Controllers that are paused for seconds or a minute and then go on, their clocks having gone on meanwhile. */
 class ProcessPauseTest {
     @TestFactory
-    fun `a controller that stands still costs no machine, no replica and no rule`() =
+    fun `a controller whose process is paused costs no machine, no replica and no rule`() =
         listOf(3L, 9L, 20L, 45L, 70L).flatMap { span ->
             (81L..83L).map { seed -> DynamicTest.dynamicTest("$span s, seed $seed") { standsStill(seed, span) } }
         }
@@ -35,7 +35,7 @@
         assertTrue(machines.isNotEmpty())
         cluster.leader().pauseProcess(span * SECOND)
         cluster.run((50 + span) * SECOND)
-        cluster.rules.calmSinceUs = cluster.now
+        cluster.rules.faultsOverSinceUs = cluster.now
         cluster.run((50 + span + 20) * SECOND)
         assertTrue(cluster.workers.keys.containsAll(machines), "machines were given up: ${machines - cluster.workers.keys}")
         val replicas =
--- a/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
+++ b/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
@@ -40,7 +40,7 @@
                 cluster.run(36 * SECOND)
                 val next = cluster.leader()
                 cluster.stateStoreFaults.lost = 0
-                cluster.rules.calmSinceUs = cluster.now + 12 * SECOND
+                cluster.rules.faultsOverSinceUs = cluster.now + 12 * SECOND
                 cluster.run(90 * SECOND)
                 assertTrue(given.isNotEmpty(), "no new machine got work")
                 assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "no write was carried out late")
--- a/src/test/kotlin/mintpick/simulation/RuleCheckerTest.kt
+++ b/src/test/kotlin/mintpick/simulation/RuleCheckerTest.kt
@@ -78,7 +78,7 @@
                 r.told("req-000001", JobStage.QUEUED, 0)
             },
             "left_waiting" to { r ->
-                r.calmSinceUs = 0
+                r.faultsOverSinceUs = 0
                 r.told("req-000001", JobStage.QUEUED, 0)
                 (0L..92L step 2).forEach { r.checkWaiting(listOf(RuleChecker.Room(north, "small", 4.0, 32.0)), emptySet(), it * SECOND) }
             },
@@ -107,7 +107,7 @@
     @Test
     fun `a job that waits for its team's limit or a machine that fits is not left waiting`() {
         val rules = rules()
-        rules.calmSinceUs = 0
+        rules.faultsOverSinceUs = 0
         rules.told("req-000001", JobStage.QUEUED, 0)
         val large = RuleChecker.Room(north, "large", 16.0, 64.0)
         for (second in 0L..200L) {
--- a/src/test/kotlin/mintpick/simulation/ServiceGuaranteesTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ServiceGuaranteesTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** The rules and troubles that came with growth, each as a failure that its guard prevents. */
+/** The rules and faults that came with growth, each as a failure that its guard prevents. */
 class ServiceGuaranteesTest {
     private fun cluster(
         seed: Long,
@@ -131,7 +131,7 @@
             cluster.run((60 + span) * SECOND)
             node.cutFromState = false
             node.cutFromPeers = false
-            cluster.rules.calmSinceUs = cluster.now
+            cluster.rules.faultsOverSinceUs = cluster.now
             cluster.run((140 + span) * SECOND)
             cluster.assertRulesHeld()
             assertTrue(
@@ -148,7 +148,7 @@
     }
 
     @TestFactory
-    fun `every job stays known and is served through drawn troubles and quick returns`() =
+    fun `every job stays known and is served through drawn faults and quick returns`() =
         (31L..38L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 60))
@@ -184,7 +184,7 @@
                         )
                     }
                 }
-                cluster.after(120 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+                cluster.after(120 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
                 cluster.run(300 * SECOND)
                 cluster.rules.checkServed(cluster.now)
                 cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.TestFactory
 import java.util.SplittableRandom
 
-/** Troubles of the state service that meet others: what is carried out late or unanswered, slow, or refused to one alone. */
+/** Faults of the state service that meet others: what is carried out late or unanswered, slow, or refused to one alone. */
 class StateStoreFaultCombinationsTest {
     /** One controller's link to the state service, whose answers may be held up one by one. */
     private class Link(
--- a/src/test/kotlin/mintpick/simulation/UnguaranteedTeamsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UnguaranteedTeamsTest.kt
@@ -19,7 +19,7 @@
             Settings.parse(SampleJobs.toml(index).replace("write_rps = 40.0", "write_rps = 25.0"))
         }
 
-    private fun guest(
+    private fun unguaranteedJob(
         n: Int,
         tasks: Int = 1,
         estimateS: Double = 8.0,
@@ -27,13 +27,13 @@
 
     /** Six jobs a second for a minute take about three writes each, of 25 a second; services and a team's own arrays go on. */
     @Test
-    fun `a swarm of one-task jobs costs few writes and holds up nobody`() {
+    fun `a flood of one-task jobs costs few writes and holds up nobody`() {
         val cluster = cluster(95)
         val swarm = 360
         cluster.user(SampleJobs.service(9000, tasks = 2), null)
         cluster.run(20 * SECOND)
         val before = cluster.state.writes
-        (1..swarm).forEach { n -> cluster.after(n * SECOND / 6) { cluster.user(guest(n), null) } }
+        (1..swarm).forEach { n -> cluster.after(n * SECOND / 6) { cluster.user(unguaranteedJob(n), null) } }
         (1..10).forEach { n ->
             cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.service(8000 + n, tasks = 1), null) }
             cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "red", 6, estimateS = 6.0), null) }
@@ -58,7 +58,7 @@
     @Test
     fun `a huge array without a guarantee begins, yields and ends`() {
         val cluster = cluster(96)
-        cluster.user(guest(1, tasks = 20_000, estimateS = 3.0), null)
+        cluster.user(unguaranteedJob(1, tasks = 20_000, estimateS = 3.0), null)
         (1..20).forEach { n ->
             cluster.after(
                 (30L + n * 6) * SECOND,
@@ -77,7 +77,7 @@
     @Test
     fun `spare-time work keeps no ordinary machines`() {
         val cluster = SimulatedCluster(98, FaultRates(), ClusterSize(machines = 60, spot = 6)) { SampleJobs.settings(it) }
-        (1..4).forEach { n -> cluster.user(guest(n, tasks = 800, estimateS = 40.0), null) }
+        (1..4).forEach { n -> cluster.user(unguaranteedJob(n, tasks = 800, estimateS = 40.0), null) }
         (1..10).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "blue", 20, cpus = 2.0, estimateS = 15.0), null) }
         cluster.run(25 * SECOND)
         assertTrue(cluster.workers.values.count { !it.spot } > 5, "ordinary machines for the peak")
@@ -94,7 +94,7 @@
     @Test
     fun `where there are no spot machines spare-time work is served all the same`() {
         val cluster = SimulatedCluster(99, FaultRates(), ClusterSize(machines = 20, spot = 0)) { SampleJobs.settings(it) }
-        (1..3).forEach { n -> cluster.user(guest(n, tasks = 30, estimateS = 40.0), null) }
+        (1..3).forEach { n -> cluster.user(unguaranteedJob(n, tasks = 30, estimateS = 40.0), null) }
         cluster.run(240 * SECOND)
         assertEquals(emptyList<Int>(), (1..3).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "spare-time work waits")
         cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
@@ -52,7 +52,7 @@
         estimateS: Double = 4.0,
     ): JobSpec = SampleJobs.spec(id(n), team = "blue", tasks = tasks, cpus = 1.0, estimateS = estimateS)
 
-    /** Meeting 5: each write's guard, and room for submissions, when a quarter of a stream of jobs is cancelled. */
+    /** Scenario 5: each write's guard, and room for submissions, when a quarter of a stream of jobs is cancelled. */
     @Test
     fun `one-task jobs come four a second and a quarter is cancelled`() {
         val cluster = cluster(105, ClusterSize(machines = 30))
@@ -61,14 +61,14 @@
             val cancelUs = if (n % 4 == 0) cluster.random.nextLong(6 * SECOND) else null
             cluster.after(n * SECOND / 4) { cluster.user(batch(n), cancelUs) }
         }
-        cluster.after(100 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+        cluster.after(100 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
         cluster.after(SECOND) { users.watchWaiting() }
         cluster.run(220 * SECOND)
         cluster.clean()
         assertEquals(480, (1..480).count { cluster.rules.isFinal(id(it)) })
     }
 
-    /** Meeting 8: an answer from a copy of the records that another node's answer has overtaken. */
+    /** Scenario 8: an answer from a copy of the records that another node's answer has overtaken. */
     @Test
     fun `close looks at all nodes never see an older answer`() {
         val cluster = cluster(108, ClusterSize(machines = 20))
@@ -83,7 +83,7 @@
         assertTrue(users.answers.getValue("look 200") > 2000 && users.answers.getValue("repeat 200") > 1000, "${users.answers}")
     }
 
-    /** Meeting 14: a cancellation that is written beside the record of the job's end. */
+    /** Scenario 14: a cancellation that is written beside the record of the job's end. */
     @Test
     fun `cancellations, questions and repeated submissions meet the end of a job's last task`() {
         val cluster = cluster(114, ClusterSize(machines = 20))
@@ -114,7 +114,7 @@
             }
         }
 
-    /** Meeting 24: a cancellation that one controller has taken while the machines or the work pass to another. */
+    /** Scenario 24: a cancellation that one controller has taken while the machines or the work pass to another. */
     @TestFactory
     fun `jobs are cancelled while work changes hands`() =
         mapOf<String, (SimulatedCluster) -> Unit>(
--- a/src/test/kotlin/mintpick/testing/Faults.kt
+++ b/src/test/kotlin/mintpick/testing/Faults.kt
@@ -3,7 +3,7 @@
 import mintpick.core.Micros
 import mintpick.core.SECOND
 
-/** A kind of trouble that days may combine. It begins when called and ends by itself after about the given span. */
+/** A kind of fault that days may combine. It begins when called and ends by itself after about the given span. */
 internal class Fault(
     val name: String,
     val begin: SimulatedCluster.(Micros) -> Unit,
@@ -26,14 +26,14 @@
     return fault.name
 }
 
-/** Troubles of controllers: ends, restarts and what each can reach. */
+/** Faults of controllers: ends, restarts and what each can reach. */
 internal val CONTROLLER_FAULTS =
     listOf(
         Fault("controller ends") { span -> anyNode().crash(span / 4) },
         Fault("controller is back within a moment") { anyNode().crash(random.nextLong(SECOND / 2)) },
         Fault("all controllers end") { span -> nodes.forEach { it.crash(SECOND + random.nextLong(span / 4)) } },
         Fault("all controllers are back within a moment") { nodes.forEach { it.crash(random.nextLong(SECOND)) } },
-        Fault("controller stands still") { span -> anyNode().pauseProcess(span) },
+        Fault("controller process paused") { span -> anyNode().pauseProcess(span) },
         Fault("controllers end one after the other") { span ->
             nodes.forEachIndexed { i, node -> after(i * span / 3) { node.crash(SECOND) } }
         },
@@ -62,7 +62,7 @@
         },
     )
 
-/** Troubles of the state service and of the cloud. */
+/** Faults of the state service and of the cloud. */
 internal val SERVICE_FAULTS =
     listOf(
         Fault("state service out") { span ->
@@ -92,7 +92,7 @@
         },
     )
 
-/** Troubles of machines and of whole zones. */
+/** Faults of machines and of whole zones. */
 internal val MACHINE_FAULTS =
     listOf(
         Fault("machines hang") { span -> someWorkers(3).forEach { it.hangingUntilUs = now + random.nextLong(span) } },
@@ -113,7 +113,7 @@
         },
     )
 
-/** Troubles of what workers, controllers and users tell each other. */
+/** Faults of what workers, controllers and users tell each other. */
 internal val MESSAGE_FAULTS =
     listOf(
         Fault("machines mute") { span ->
--- a/src/test/kotlin/mintpick/testing/LargeFleetDay.kt
+++ b/src/test/kotlin/mintpick/testing/LargeFleetDay.kt
@@ -85,7 +85,7 @@
     cluster.after(25 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } }
     cluster.after(40 * SECOND) { cluster.nodes.drop(1).forEach { it.crash(30 * SECOND) } }
     cluster.run(150 * SECOND)
-    cluster.rules.calmSinceUs = cluster.now
+    cluster.rules.faultsOverSinceUs = cluster.now
     cluster.run(170 * SECOND)
     cluster.checkListed(up, limits)
     cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/testing/RandomFaultDay.kt
+++ b/src/test/kotlin/mintpick/testing/RandomFaultDay.kt
@@ -58,7 +58,7 @@
         val at = first + cluster.random.nextLong(12 * SECOND)
         cluster.after(at) { faults += cluster.injectRandom(ALL_FAULTS, 4 * SECOND, 60 * SECOND) }
     }
-    cluster.after(125 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+    cluster.after(125 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
     cluster.run(230 * SECOND)
     cluster.rules.checkServed(cluster.now)
     return RandomFaultDay(
--- a/src/test/kotlin/mintpick/testing/RuleChecker.kt
+++ b/src/test/kotlin/mintpick/testing/RuleChecker.kt
@@ -4,7 +4,7 @@
 import mintpick.wire.JobSpec
 import mintpick.wire.JobStage
 
-/** The rules of PROTOCOL, checked from the stand-ins' own view. Each breach is a line that begins with the rule's name. */
+/** The rules of PROTOCOL, checked from the simulated services' own view. Each breach is a line that begins with the rule's name. */
 class RuleChecker(
     private val cancelUs: Micros,
     private val limits: Map<String, Double>,
@@ -36,8 +36,8 @@
     /** Later than this after a confirmed cancellation no start can be told by a command that was on its way. */
     var lateStartUs: Micros = cancelUs
 
-    /** When the last trouble was over: from then on every job that is asked about must be answered for. */
-    var calmSinceUs: Micros = Long.MAX_VALUE
+    /** When the last fault was over: from then on every job that is asked about must be answered for. */
+    var faultsOverSinceUs: Micros = Long.MAX_VALUE
     var starts = 0
         private set
 
@@ -226,9 +226,9 @@
     }
 
     fun tick(now: Micros) {
-        if (now - calmSinceUs > UNANSWERED) {
+        if (now - faultsOverSinceUs > UNANSWERED) {
             for ((job, since) in silentSince) {
-                if (job in accepted && now - maxOf(since, calmSinceUs) > UNANSWERED) breaches += "forgotten: $job unanswered at $now"
+                if (job in accepted && now - maxOf(since, faultsOverSinceUs) > UNANSWERED) breaches += "forgotten: $job unanswered at $now"
             }
         }
         for (task in on.keys) {
@@ -247,13 +247,13 @@
         val memoryGb: Double,
     )
 
-    /** Once troubles are over no job waits for long beside room for it; [assigned] are all tasks that machines know of. */
+    /** Once faults are over no job waits for long beside room for it; [assigned] are all tasks that machines know of. */
     fun checkWaiting(
         rooms: List<Room>,
         assigned: Set<String>,
         now: Micros,
     ) {
-        if (now < calmSinceUs) return
+        if (now < faultsOverSinceUs) return
         val waiting =
             specs.values.filter {
                 it.id in accepted &&
--- a/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
@@ -25,7 +25,7 @@
 import java.util.PriorityQueue
 import java.util.SplittableRandom
 
-/** Three engines, a state service, a cloud, workers and users in one virtual time, with troubles at will. */
+/** Three engines, a state service, a cloud, workers and users in one virtual time, with faults at will. */
 class SimulatedCluster(
     seed: Long,
     private val faultRates: FaultRates,
@@ -72,7 +72,7 @@
             stepLoop(mine)
         }
 
-        /** Stands still, while its clocks go on and what comes for it is kept. */
+        /** Pauses, while its clocks go on and what comes for it is kept. */
         fun pauseProcess(spanUs: Micros) {
             pausedUntilUs = now + spanUs
         }
--- a/src/test/kotlin/mintpick/testing/WaitingJobRule.kt
+++ b/src/test/kotlin/mintpick/testing/WaitingJobRule.kt
@@ -7,7 +7,7 @@
 import mintpick.wire.JobSpec
 
 /**
- * Once the troubles are over, no task is left waiting for 90 s while a machine that fits has room and its team is under
+ * Once the faults are over, no task is left waiting for 90 s while a machine that fits has room and its team is under
  * its limit. All of this is judged each second by what runs where, not by the controllers' records.
  */
 class WaitingJobRule(
--- a/src/test/kotlin/mintpick/upgrade/RollingUpgrade.kt
+++ b/src/test/kotlin/mintpick/upgrade/RollingUpgrade.kt
@@ -91,7 +91,7 @@
     val withdrawn = pipelines.diamond(4)
     pipelines.submit(withdrawn, cancelled = withdrawn[1])
     cluster.after(20 * SECOND) { cluster.nodes.forEach { it.crash(SECOND) } }
-    cluster.after(80 * SECOND) { cluster.rules.calmSinceUs = cluster.now }
+    cluster.after(80 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
     cluster.run(290 * SECOND)
     cluster.assertRulesHeld()
     assertEquals(emptyMap<String, Int>(), cluster.state.refused - "rate", "beyond the lowered limits")
