--- a/src/test/kotlin/mintpick/differential/ComparedController.kt
+++ b/src/test/kotlin/mintpick/differential/ComparedController.kt
@@ -1,5 +1,6 @@
 package mintpick.differential
 
+import mintpick.core.JobId
 import mintpick.core.Micros
 import mintpick.engine.runtime.Effect
 import mintpick.engine.runtime.Event
@@ -8,8 +9,8 @@
 import java.util.SplittableRandom
 
 /**
- * Steps two engines with the same events and compares their effects; the world sees only what [present] does. From the first
- * difference of its life on, [base] stands still: it would get answers to calls that it never made.
+ * Steps two engines with the same events and compares their effects; the cluster sees only what [present] does. From the first
+ * difference of its life on, [base] is no longer stepped: it would get answers to calls that it never made.
  */
 internal class ComparedController(
     private val base: SimulatedCluster.Controller,
@@ -37,11 +38,21 @@
     ): List<Effect> {
         step++
         if (differs) return present.step(now, wall, events)
-        val all = if (step % INSPECT_EVERY == 0L) events + Event.Inspect(ReplyTo { }) else events
+        val all = events + additionalEvents()
         note(now, all)
         return compared(now, wall, all)
     }
 
+    /** What no simulated user or person on call sends: questions for the status page, and submissions that break the format. */
+    private fun additionalEvents(): List<Event> =
+        buildList {
+            if (step % INSPECT_EVERY == 0L) add(Event.Inspect(ReplyTo { }))
+            if (step % MALFORMED_EVERY == 0L) add(Event.Malformed(malformedId(), "tasks: missing", ReplyTo { }))
+        }
+
+    /** In turn of a job that was accepted and of one that never was. */
+    private fun malformedId() = JobId(if (step / MALFORMED_EVERY % 2 == 0L) "req-000001" else "req-999999")
+
     private fun note(
         now: Micros,
         events: List<Event>,
@@ -80,5 +91,6 @@
 
         /** Its own account of itself shows where an engine's state differs before its calls do. */
         const val INSPECT_EVERY = 50
+        const val MALFORMED_EVERY = 333
     }
 }
