--- a/src/main/kotlin/mintpick/core/BootTimes.kt
+++ b/src/main/kotlin/mintpick/core/BootTimes.kt
@@ -1,6 +1,6 @@
 package mintpick.core
 
-/** A machine type in a zone: machines of one kind boot alike. */
+/** A machine type in a zone: machines of one kind take similar times to boot. */
 data class BootKind(
     val type: String,
     val zone: String,
@@ -8,8 +8,8 @@
 
 /**
  * How long machines take to boot, by kind, as multiples of the nominal boot time of their type. Like a retransmission timeout
- * it adapts: while most of the latest machines of a kind were slow or overdue, others of it are waited for longer before they
- * are replaced or released, so that slow boots do not make the planner rent the same capacity twice.
+ * it adapts: while most of the latest machines of a kind were slow or overdue, others of it get a longer timeout before they
+ * are replaced or released, so that slow boots do not make the planner rent the same capacity twice. Event-loop thread only.
  */
 class BootTimes {
     /** Samples of the latest machines; an overdue one counts with the time that it has taken so far. */
--- a/src/main/kotlin/mintpick/core/FailureTracker.kt
+++ b/src/main/kotlin/mintpick/core/FailureTracker.kt
@@ -1,9 +1,10 @@
 package mintpick.core
 
 /**
- * Tells faulty jobs from faulty machines by which tasks end with an error where.
+ * Distinguishes faulty jobs from faulty machines by which tasks end with an error on which machines. Times are microseconds of
+ * the steady clock.
  *
- * A job that fails on several machines without ever succeeding is at fault itself: it is retried with exponential backoff,
+ * A job that fails on several machines without ever succeeding is faulty itself: it is retried with exponential backoff,
  * a task at a time, and its errors are not counted against machines. A machine is faulty once several other jobs have failed
  * there. All of it is kept in memory only: a controller that starts anew learns it again within a few retries.
  * Event-loop thread only.
@@ -19,7 +20,7 @@
         fun add(machine: MachineId) {
             machines -= machine
             machines += machine
-            if (machines.size > MAX_MACHINES_KEPT) machines.remove(machines.first())
+            if (machines.size > MAX_MACHINES_PER_JOB) machines.remove(machines.first())
         }
     }
 
@@ -45,7 +46,7 @@
             failures.retries++
             failures.retryAtUs = now + backoff(failures.retries)
         }
-        if (!hasSucceeded && failures.machines.size >= MACHINES_TO_BLAME_JOB) markFaulty(job, failures)
+        if (!hasSucceeded && failures.machines.size >= FAULTY_JOB_MIN_MACHINES) markFaulty(job, failures)
         if (!failures.isFaulty) failedJobsOn.getOrPut(machine) { LinkedHashSet() } += job
     }
 
@@ -86,7 +87,7 @@
     fun isFaulty(job: JobId): Boolean = jobs[job]?.isFaulty == true
 
     /** Whether jobs that succeed on other machines fail on [machine]. */
-    fun isFaulty(machine: MachineId): Boolean = (failedJobsOn[machine]?.size ?: 0) >= JOBS_TO_BLAME_MACHINE
+    fun isFaulty(machine: MachineId): Boolean = (failedJobsOn[machine]?.size ?: 0) >= FAULTY_MACHINE_MIN_JOBS
 
     /** Jobs that fail on every machine. */
     fun faultyJobs(): List<JobId> = jobs.filterValues { it.isFaulty }.keys.toList()
@@ -94,7 +95,7 @@
     /** Machines on which jobs fail that succeed on others. */
     fun faultyMachines(): List<MachineId> = failedJobsOn.keys.filter(::isFaulty)
 
-    /** Whether the backoff of [job] is over at [now]. */
+    /** Whether the backoff of [job] is over at [now]; true for a job without failures. */
     fun mayRetry(
         job: JobId,
         now: Micros,
@@ -113,15 +114,15 @@
     }
 
     companion object {
-        /** A machine is faulty once so many jobs have failed on it. */
-        const val JOBS_TO_BLAME_MACHINE = 3
+        /** Jobs that must have failed on a machine for it to be faulty. */
+        const val FAULTY_MACHINE_MIN_JOBS = 3
 
-        /** A job that never succeeded is faulty once it has failed on so many machines. */
-        const val MACHINES_TO_BLAME_JOB = 3
+        /** Machines on which a job that never succeeded must have failed for it to be faulty. */
+        const val FAULTY_JOB_MIN_MACHINES = 3
 
-        /** Tasks of a faulty job that may run at once. */
-        const val FAULTY_TASKS = 1
-        private const val MAX_MACHINES_KEPT = 4
+        /** Most tasks of a faulty job that may run at once. */
+        const val FAULTY_JOB_MAX_TASKS = 1
+        private const val MAX_MACHINES_PER_JOB = 4
         private const val FIRST_BACKOFF: Micros = SECOND / 2
         private const val MAX_BACKOFF: Micros = 30 * SECOND
         private const val MAX_DOUBLINGS = 6
@@ -130,7 +131,7 @@
         fun probes(
             waiting: Int,
             placed: Int,
-        ): Int = minOf(waiting, maxOf(0, FAULTY_TASKS - placed))
+        ): Int = minOf(waiting, maxOf(0, FAULTY_JOB_MAX_TASKS - placed))
 
         /** The pause before the [retry]th retry, in microseconds. */
         fun backoff(retry: Int): Micros = minOf(MAX_BACKOFF, FIRST_BACKOFF shl minOf(retry - 1, MAX_DOUBLINGS))
--- a/src/main/kotlin/mintpick/core/MachineView.kt
+++ b/src/main/kotlin/mintpick/core/MachineView.kt
@@ -20,14 +20,14 @@
     data object Completed : Proof
 
     /** The attempt runs nowhere and never will; [cause] is null if its worker does not know it. */
-    data class Over(
+    data class Ended(
         val cause: ExitCause?,
     ) : Proof
 }
 
 /**
  * What is known of one machine from its worker's messages: a state machine fed with reports and with the commands that were
- * sent, which tells what they prove. Times are microseconds of the steady clock. Event-loop thread only.
+ * sent, which says what they prove. Times are microseconds of the steady clock. Event-loop thread only.
  */
 class MachineView(
     val id: MachineId,
@@ -69,7 +69,7 @@
     /** The latest start of each attempt that was not answered: it may be executed later, whatever became of a repetition. */
     private val lost = HashMap<AttemptId, OpenStart>()
 
-    /** Starts that went out with the answer to the latest report; until a newer message they may be under way. */
+    /** Starts that went out with the answer to the latest report; until a newer message they may still arrive. */
     private var answered: Set<AttemptId> = emptySet()
 
     /** Images on the machine with their sizes in GB, the oldest first. */
@@ -177,7 +177,7 @@
 
     private fun isOpen(attempt: AttemptId): Boolean = attempt in inFlight || attempt in lost
 
-    /** The answer to the latest report carries [starts]. */
+    /** The answer to the latest report carries the [starts]. */
     fun answeredWith(starts: Set<AttemptId>) {
         answered = starts
     }
@@ -192,8 +192,8 @@
         // Below that token an earlier controller's command may still be on its way.
         if (latest == null || this.token != token || isOpen(attempt)) return Proof.None
         return when {
-            report == null -> if (attempt in answered) Proof.None else Proof.Over(null)
-            report.state == TaskState.EXITED -> Proof.Over(report.cause)
+            report == null -> if (attempt in answered) Proof.None else Proof.Ended(null)
+            report.state == TaskState.EXITED -> Proof.Ended(report.cause)
             else -> Proof.None
         }
     }
@@ -219,14 +219,14 @@
         return isLeaseExpired(now, maxOf(renewedUs, heardUs), leaseUs)
     }
 
-    /** Whether the worker may forget [attempt], told so with [token]: no start that is still under way may bring it back. */
+    /** Whether the worker may forget [attempt], as a command with [token] says: no start that may still arrive can bring it back. */
     fun mayForget(
         attempt: AttemptId,
         token: Long,
     ): Boolean = this.token == token && !isOpen(attempt) && attempt !in answered
 
-    /** Remembers that [image] of [gb] is on the machine; the oldest give way as they do there, in a cache of [cacheGb]. */
-    fun sawImage(
+    /** Remembers that [image] with a size of [gb] GB is on the machine; the oldest are evicted as they are there, from a cache of [cacheGb] GB. */
+    fun recordImage(
         image: String,
         gb: Double,
         cacheGb: Double,
--- a/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
@@ -3,7 +3,7 @@
 import mintpick.wire.JobSpec
 import mintpick.wire.MachineType
 
-/** What kind of machine can be rented where. */
+/** A kind of machine that can be rented in a zone: spot or on-demand. */
 data class Offer(
     val type: String,
     val zone: String,
@@ -20,7 +20,7 @@
     val perZone: Map<String, Int> = emptyMap(),
     /** Whether on-demand machines may be rented for work that may run on spot ones. */
     val mayRentOnDemand: Boolean = true,
-    /** Work that may run on spot machines takes no room on on-demand ones, and is no reason to keep those. */
+    /** Work that may run on spot machines takes no capacity of on-demand ones, and is no reason to keep those. */
     val keepsToSpot: Boolean = false,
 )
 
@@ -28,10 +28,16 @@
 data class ScaleOutPlan(
     /** Number of machines to rent, in the order in which the offers were first chosen. */
     val newMachines: Map<Offer, Int>,
+    /** Existing machines that none of the tasks was packed into. */
     val unusedMachines: Set<MachineId>,
 )
 
-/** Works out by bin packing which machines are missing for tasks that have no room. Pure. */
+/**
+ * Works out by bin packing which machines are missing for tasks that have no free capacity. Pure.
+ *
+ * @param types the machine types that can be rented, by name
+ * @param zones the zones that machines may be rented in
+ */
 class ScaleOutPlanner(
     private val types: Map<String, MachineType>,
     private val zones: List<String>,
@@ -48,16 +54,16 @@
             .flatMap { zone -> listOf(Offer(type.name, zone, true), Offer(type.name, zone, false)) }
 
     /**
-     * New machines to rent so that all of [demands] fit into [rooms] or onto the new machines, of which there are at most
-     * [maxNewMachines]. Rooms are filled in the given order, each with as many tasks at a time as it holds, so that a cluster
+     * New machines to rent so that all of [demands] fit on [machines] or on the new ones, of which there are at most
+     * [maxNewMachines]. [machines] are filled in the given order, each with as many tasks at a time as it holds, so that a cluster
      * of a thousand machines is walked once for each demand.
      */
     fun plan(
-        rooms: Collection<Room>,
+        machines: Collection<CandidateMachine>,
         demands: List<CapacityDemand>,
         maxNewMachines: Int,
     ): ScaleOutPlan {
-        val packing = Packing(rooms, maxNewMachines)
+        val packing = Packing(machines, maxNewMachines)
         demands.forEach(packing::pack)
         return packing.result()
     }
@@ -66,15 +72,15 @@
     private class MachineBin(
         val offer: Offer,
         var free: Resources,
-        var yielding: Resources,
+        var preemptible: Resources,
         /** Null for one that is to be rented. */
         val machine: MachineId?,
     ) {
         var isUsed = false
             private set
 
-        /** What tasks of [spec] may take: services also what batch work yields to them. */
-        fun roomFor(spec: JobSpec): Resources = if (spec.isService) free + yielding else free
+        /** What tasks of [spec] may take: services also what they may preempt. */
+        fun availableTo(spec: JobSpec): Resources = if (spec.isService) free + preemptible else free
 
         fun take(
             spec: JobSpec,
@@ -85,7 +91,7 @@
             if (demand.fits(free)) {
                 free -= demand
             } else {
-                yielding = free + yielding - demand
+                preemptible = free + preemptible - demand
                 free = Resources.ZERO
             }
         }
@@ -93,15 +99,15 @@
 
     /** One pass of bin packing. */
     private inner class Packing(
-        rooms: Collection<Room>,
+        machines: Collection<CandidateMachine>,
         private val maxNewMachines: Int,
     ) {
         private val existingBins =
-            rooms.mapTo(ArrayList()) { MachineBin(Offer(it.type, it.zone, it.spot), it.free, it.yielding, it.machine) }
+            machines.mapTo(ArrayList()) { MachineBin(Offer(it.type, it.zone, it.spot), it.free, it.preemptible, it.machine) }
         private val newBins = ArrayList<MachineBin>()
         private val newMachines = LinkedHashMap<Offer, Int>()
 
-        /** Specifications that no existing bin had room for: what needs as much need not be tried again. */
+        /** Specifications that no existing bin had capacity for: what needs as much need not be tried again. */
         private val unplaceable = ArrayList<JobSpec>()
 
         fun result() = ScaleOutPlan(newMachines, existingBins.filter { !it.isUsed }.mapNotNullTo(HashSet()) { it.machine })
@@ -118,7 +124,7 @@
             }
         }
 
-        /** Whether what needs at most as much as [spec], and may use the same machines at least, has found no room already. */
+        /** Whether what needs at most as much as [spec], and may use the same machines at least, was unplaceable already. */
         private fun isUnplaceable(spec: JobSpec): Boolean =
             unplaceable.any { failed ->
                 val hasNoMoreChoice = failed.spot || !spec.spot
@@ -156,8 +162,8 @@
                 if (left == 0) break
                 val offer = bin.offer
                 if (!accepts(bin) || !Placer.allowed(spec, offer.type, offer.zone, offer.spot)) continue
-                val zoneRoom = spec.zoneCap - (perZone[offer.zone] ?: 0)
-                val taken = minOf(left, zoneRoom, spec.demand.countIn(bin.roomFor(spec)))
+                val zoneCapacity = spec.zoneCap - (perZone[offer.zone] ?: 0)
+                val taken = minOf(left, zoneCapacity, spec.demand.countIn(bin.availableTo(spec)))
                 if (taken <= 0) continue
                 bin.take(spec, taken)
                 perZone.merge(offer.zone, taken, Int::plus)
--- a/src/main/kotlin/mintpick/core/FairShare.kt
+++ b/src/main/kotlin/mintpick/core/ShareTree.kt
@@ -1,8 +1,6 @@
 package mintpick.core
 
-import mintpick.wire.JobSpec
 import kotlin.math.max
-import kotlin.math.min
 
 /**
  * A node of the budget tree: a team, or a group of them. The tree, its shares set by managers, is that of "Ai2 replaces GPU
@@ -72,8 +70,8 @@
         }
     }
 
-    /** The rank of each team, the one to be served first lowest: equals share one. */
-    fun places(use: (String) -> Double): Map<String, Int> {
+    /** The rank of each team, from 0 for the one to be served first: equals share one. */
+    fun ranks(use: (String) -> Double): Map<String, Int> {
         val sorted = paths.keys.sortedWith { a, b -> compare(a, b, use) }
         val ranks = HashMap<String, Int>()
         var rank = 0
@@ -136,97 +134,3 @@
         const val MIN_WEIGHT = 1e-9
     }
 }
-
-/**
- * Use by team over a sliding window, in slots: share-seconds of the dominant resource. The window is that of "Ai2 replaces GPU
- * priority scheduling with time budgets and fair share"; its length there is 7 days. Times are times of day in microseconds.
- *
- * @param windowUs the window's length
- * @param slotUs a slot's length; use is forgotten slot by slot
- */
-class UsageWindow(
-    private val windowUs: Micros,
-    private val slotUs: Micros,
-) {
-    private val slots = HashMap<Long, HashMap<String, Double>>()
-
-    /** The number of the slot that the time of day [wall] is in. */
-    fun slotOf(wall: Micros): Long = wall / slotUs
-
-    /** Adds what [team] has used to the slot of [wall]. */
-    fun add(
-        team: String,
-        shareSeconds: Double,
-        wall: Micros,
-    ) {
-        slots.getOrPut(slotOf(wall)) { HashMap() }.merge(team, shareSeconds, Double::plus)
-    }
-
-    /** Sets what all teams used in [slot], in place of what is known of it. */
-    fun set(
-        slot: Long,
-        use: Map<String, Double>,
-    ) {
-        slots[slot] = HashMap(use)
-    }
-
-    /** Forgets the slots that are over before the window that ends at [wall]. */
-    fun expire(wall: Micros) {
-        val oldest = slotOf(wall - windowUs)
-        slots.keys.removeIf { it < oldest }
-    }
-
-    /** Share-seconds that [team] has used in the slots that are kept. */
-    fun use(team: String): Double = slots.values.sumOf { it[team] ?: 0.0 }
-
-    /** Use by team of each slot that is kept. */
-    fun snapshot(): Map<Long, Map<String, Double>> = slots.mapValues { it.value.toMap() }
-}
-
-/**
- * What the source ("Ai2 replaces GPU priority scheduling with time budgets and fair share") has jobs declare, derived from the
- * platform's fields, since the wire does not carry it: the minimum runtime, and what is funded.
- */
-object Contract {
-    /**
-     * The span in microseconds for which a funded task is protected: its owner's estimate, but never shorter than the
-     * fetch of its image nor longer than the cap. A service protects itself as long as its team pays for it.
-     */
-    fun minimumRuntime(
-        spec: JobSpec,
-        fetchUs: Micros,
-        capUs: Micros,
-    ): Micros = if (spec.isService) capUs else max(fetchUs, min(capUs, (spec.estimateS * SECOND).toLong()))
-
-    /**
-     * Which of a team's unfinished jobs its guarantee pays for: the earliest ones that fit into it together.
-     * [jobs] come in order of submission with what they still need.
-     */
-    fun funded(
-        guarantee: Resources,
-        jobs: List<Pair<JobId, Resources>>,
-    ): Set<JobId> {
-        var left = guarantee
-        val funded = LinkedHashSet<JobId>()
-        for ((id, need) in jobs) {
-            left -= need
-            if (!isWithin(guarantee, left)) break
-            funded += id
-        }
-        return funded
-    }
-
-    /**
-     * Whether no budgeted resource of [guarantee] is overdrawn with [left] left. A resource without a guarantee is not budgeted,
-     * so it does not unfund what fits in the others; without any guarantee nothing is funded.
-     */
-    private fun isWithin(
-        guarantee: Resources,
-        left: Resources,
-    ): Boolean {
-        val hasGuarantee = guarantee.cpus > 0 || guarantee.gpus > 0
-        val cpusSuffice = guarantee.cpus <= 0 || left.cpus + Resources.EPSILON >= 0
-        val gpusSuffice = guarantee.gpus <= 0 || left.gpus + Resources.EPSILON >= 0
-        return hasGuarantee && cpusSuffice && gpusSuffice
-    }
-}
--- /dev/null
+++ b/src/main/kotlin/mintpick/core/Time.kt
@@ -0,0 +1,10 @@
+package mintpick.core
+
+/** A time or duration in whole microseconds. */
+typealias Micros = Long
+
+/** Microseconds of a millisecond. */
+const val MILLI: Micros = 1_000
+
+/** Microseconds of a second. */
+const val SECOND: Micros = 1_000_000
--- a/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
@@ -102,7 +102,7 @@
             val waitedMs = (context.wall - job.submittedUs) / MILLI
             LOG.debug("running task={} attempt={} machine={} waited_ms={}", attempt.task, attempt.attempt, view.id.text, waitedMs)
         }
-        view.sawImage(job.spec.image, job.spec.imageGb, cacheGb)
+        view.recordImage(job.spec.image, job.spec.imageGb, cacheGb)
     }
 
     /** Whether the last status is recent enough for the machine to be given work. */
--- a/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
+++ b/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
@@ -77,7 +77,7 @@
             when (val proof = view.proof(attempt, token)) {
                 Proof.None -> if (job.spec.isService) failureHandler.onReplicaReported(view, attempt)
                 Proof.Completed -> addCompleted(attempt, job)
-                is Proof.Over -> if (!isStartedAgain(attempt, job, proof.cause)) addEnded(attempt, job, proof.cause)
+                is Proof.Ended -> if (!isStartedAgain(attempt, job, proof.cause)) addEnded(attempt, job, proof.cause)
             }
         }
 
--- a/src/main/kotlin/mintpick/engine/cache/JobCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -131,7 +131,7 @@
         val job = jobsById[id] ?: return
         if (index >= job.chunkCount) return
         val chunk = RecordCodec.chunk(record, job.sizeOf(index), version)
-        replace(id, job.with(chunk = index to chunk))
+        replace(id, job.withChunk(index, chunk))
     }
 
     /** The job [stored] with what follows from its predecessors' records. */
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
@@ -1,7 +1,7 @@
 package mintpick.engine.capacity
 
+import mintpick.core.CandidateMachine
 import mintpick.core.Micros
-import mintpick.core.Room
 import mintpick.core.SECOND
 import mintpick.core.ScaleOutPlan
 import mintpick.core.ScaleOutPlanner
@@ -44,7 +44,7 @@
 
     private fun plan(): ScaleOutPlan {
         val planner = ScaleOutPlanner(cache.types, context.settings.zones, scaleOut::bootsSlowly, scaleOut::isAvailable)
-        val rooms: List<Room> = capacityView.rooms()
+        val rooms: List<CandidateMachine> = capacityView.rooms()
         val demands = demandForecast.waiting(rooms) + demandForecast.expected()
         return planner.plan(rooms, demands.sortedBy { !it.spec.isService }, MAX_NEW_MACHINES)
     }
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
@@ -1,9 +1,9 @@
 package mintpick.engine.capacity
 
+import mintpick.core.CandidateMachine
 import mintpick.core.MachineId
 import mintpick.core.Offer
 import mintpick.core.Resources
-import mintpick.core.Room
 import mintpick.core.capacity
 import mintpick.engine.agents.AgentRegistry
 import mintpick.engine.agents.CommandPlanner
@@ -43,12 +43,12 @@
     private val cache get() = context.cache
 
     /** All machines with what they have free; of those that are up the fullest first, so that what is empty stays empty. */
-    fun rooms(): List<Room> {
+    fun rooms(): List<CandidateMachine> {
         val rooms = listedRooms() + bootingRooms() + pendingRooms()
-        return rooms.sortedWith(compareBy({ !it.up }, { it.free.dominantShare(it.total) }, { !it.spot }))
+        return rooms.sortedWith(compareBy({ !it.isUp }, { it.free.dominantShare(it.total) }, { !it.spot }))
     }
 
-    private fun listedRooms(): List<Room> =
+    private fun listedRooms(): List<CandidateMachine> =
         cache.machines.values.mapNotNull { machine ->
             val type = cache.types[machine.record.type]
             if (type == null || !isUsable(machine)) null else roomOn(machine, type)
@@ -68,21 +68,31 @@
     private fun roomOn(
         machine: KnownMachine,
         type: MachineType,
-    ): Room {
+    ): CandidateMachine {
         val record = machine.record
         val free = type.capacity - cache.usedOn(machine.id)
         // Services may have what batch work holds, so it is no reason to rent more for them.
-        val yielding = cache.usedOn(machine.id) - cache.servicesOn(machine.id)
-        return Room(machine.id, type.name, record.zone, record.spot, free, type.capacity, NO_IMAGES, own = true, yielding = yielding)
+        val preemptible = cache.usedOn(machine.id) - cache.servicesOn(machine.id)
+        return CandidateMachine(
+            machine.id,
+            type.name,
+            record.zone,
+            record.spot,
+            free,
+            type.capacity,
+            NO_IMAGES,
+            isOwned = true,
+            preemptible = preemptible,
+        )
     }
 
     /** Some machines take several times as long to boot, or forever: those that are late do not count. */
-    private fun bootingRooms(): List<Room> =
+    private fun bootingRooms(): List<CandidateMachine> =
         inventory.booting.all
             .filterNot(inventory.booting::isLate)
             .mapNotNull { emptyRoom(it.id, it.offer) }
 
-    private fun pendingRooms(): List<Room> =
+    private fun pendingRooms(): List<CandidateMachine> =
         scaleOut.pendingMachines().flatMap { (offer, count) ->
             (0 until count).mapNotNull { emptyRoom(MachineId("pending-$it"), offer) }
         }
@@ -91,9 +101,9 @@
     private fun emptyRoom(
         id: MachineId,
         offer: Offer,
-    ): Room? {
+    ): CandidateMachine? {
         val size: Resources = cache.types[offer.type]?.capacity ?: return null
-        return Room(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, own = true, up = false)
+        return CandidateMachine(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, isOwned = true, isUp = false)
     }
 
     /** The spot machines, or the on-demand ones, that are not known to be terminated. */
--- a/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
@@ -1,9 +1,9 @@
 package mintpick.engine.capacity
 
 import mintpick.config.Operators
+import mintpick.core.CandidateMachine
 import mintpick.core.CapacityDemand
 import mintpick.core.Job
-import mintpick.core.Room
 import mintpick.core.TeamQuota
 import mintpick.core.isService
 import mintpick.engine.runtime.EngineContext
@@ -61,7 +61,7 @@
      * What waits, in the scheduler's order. Work that may use spot machines is worth on-demand ones when the spot machines
      * among [rooms] would need too long for what waits: longer than a part of what its class is expected to take altogether.
      */
-    fun waiting(rooms: List<Room>): List<CapacityDemand> {
+    fun waiting(rooms: List<CandidateMachine>): List<CapacityDemand> {
         val spotCpus = rooms.filter { it.spot }.sumOf { it.total.cpus }
         val quota = scheduler.teamQuota()
         var queuedCpuSeconds = 0.0
--- a/src/main/kotlin/mintpick/engine/jobs/SubmissionWriter.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SubmissionWriter.kt
@@ -2,6 +2,7 @@
 
 import mintpick.core.Job
 import mintpick.core.JobId
+import mintpick.core.JobRecordInfo
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.state.FormatGate
 import mintpick.engine.state.Write
@@ -30,7 +31,7 @@
         id: JobId,
         pending: PendingSubmission,
     ): TransactionPart {
-        val submitted = Job(id, pending.spec, StoredStage.OPEN, context.wall, 0, emptyMap())
+        val submitted = Job(id, pending.spec, StoredStage.OPEN, context.wall, JobRecordInfo(version = 0), emptyMap())
         return specStorage.fitValues(submitted, submitted) { job -> mainRecord(job, pending) }
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
@@ -1,10 +1,10 @@
 package mintpick.engine.scheduling
 
+import mintpick.core.Candidates
 import mintpick.core.Job
 import mintpick.core.MILLI
 import mintpick.core.Micros
 import mintpick.core.NodeId
-import mintpick.core.Placer
 import mintpick.core.SECOND
 import mintpick.core.isGang
 import mintpick.engine.membership.ControllerHealth
@@ -33,7 +33,7 @@
         job: Job,
         unchangedUs: Micros,
         rooms: PassRooms,
-    ): Placer.Rooms? {
+    ): Candidates? {
         if (shardClaims.isLeader && needsAllMachines(job, unchangedUs, rooms)) return rooms.all
         val preferred = shardClaims.preferredController(job.id)
         if (preferred == context.self || preferred == null) return rooms.own
--- a/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
@@ -1,11 +1,12 @@
 package mintpick.engine.scheduling
 
-import mintpick.core.Contract
+import mintpick.core.FundingPolicy
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.Micros
 import mintpick.core.Resources
 import mintpick.core.SECOND
+import mintpick.core.UnfinishedJob
 import mintpick.core.demand
 import mintpick.engine.runtime.EngineContext
 import mintpick.wire.StoredStage
@@ -33,7 +34,7 @@
         return context.settings.teams.flatMapTo(HashSet()) { team ->
             val guarantee = Resources(team.cpus, team.gpus, 0.0)
             val jobs = byTeam[team.name].orEmpty().sortedWith(SUBMITTED_FIRST)
-            Contract.funded(guarantee, jobs.map { it.id to unfinishedDemand(it) })
+            FundingPolicy.funded(guarantee, jobs.map { UnfinishedJob(it.id, unfinishedDemand(it)) })
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -1,8 +1,11 @@
 package mintpick.engine.scheduling
 
+import mintpick.core.Candidates
 import mintpick.core.Job
 import mintpick.core.MachineId
 import mintpick.core.Micros
+import mintpick.core.PlacedTask
+import mintpick.core.PlacementRequest
 import mintpick.core.Placer
 import mintpick.core.SECOND
 import mintpick.core.demand
@@ -17,12 +20,6 @@
 import mintpick.wire.StoredStage
 import org.slf4j.LoggerFactory
 
-/** A task, by its index in its job, and the machine chosen for it. */
-internal data class TaskPlacement(
-    val task: Int,
-    val machine: MachineId,
-)
-
 /**
  * Places the tasks of one job: picks machines, and drafts the assignments. Event-loop thread only.
  *
@@ -50,7 +47,7 @@
     fun place(
         job: Job,
         startable: Int,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         pass: PlacementPass,
     ): Int {
         val limit = taskLimit(job, startable, pass)
@@ -82,8 +79,8 @@
 
     private fun draftPlacements(
         job: Job,
-        placeable: List<TaskPlacement>,
-        rooms: Placer.Rooms,
+        placeable: List<PlacedTask>,
+        rooms: Candidates,
         pass: PlacementPass,
     ): Int {
         // Parts of jobs are placed now and then, not for each task that ends or machine that comes up, since each costs
@@ -99,48 +96,49 @@
     private fun findMachines(
         job: Job,
         limit: Int,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         pass: PlacementPass,
-    ): List<TaskPlacement> =
-        placer
-            .place(
+    ): List<PlacedTask> {
+        val request =
+            PlacementRequest(
                 job.spec,
                 job.waitingTasks(),
-                rooms,
                 candidates.zonesOf(job),
                 limit,
                 pass.isOverloaded,
                 avoided = reconciler.failures.triedOn(job.id),
                 spotOnly = keepsToSpot(job),
-            ).map { (task, machine) -> TaskPlacement(task, machine) }
+            )
+        return placer.place(request, rooms)
+    }
 
     /** Holds the room of [found] for the rest of the pass, and asks for those machines that have to be borrowed first. */
     private fun hold(
-        found: List<TaskPlacement>,
+        found: List<PlacedTask>,
         job: Job,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         pass: PlacementPass,
     ) {
         for (placement in found) rooms.take(placement.machine, job.spec.demand)
         // A machine that is borrowed takes work only after the old owner has surely stopped placing there.
         for (placement in found) {
-            if (rooms[placement.machine]?.own == false) pass.toBorrow += placement.machine
+            if (rooms[placement.machine]?.isOwned == false) pass.toBorrow += placement.machine
         }
     }
 
     private fun isReady(
         machine: MachineId,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
     ): Boolean {
         val room = rooms[machine] ?: return false
-        return room.own && room.ready
+        return room.isOwned && room.isReady
     }
 
     /** Adds [placements] to [draft] as far as a transaction has room for them, and returns how many. */
     private fun assign(
-        placements: List<TaskPlacement>,
+        placements: List<PlacedTask>,
         draft: JobUpdate,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         pass: PlacementPass,
     ): Int {
         val job = draft.before
@@ -175,13 +173,14 @@
     /** Whether there is room for a task of [job] on [rooms]. False for gangs, for which room for one task says nothing. */
     fun couldPlace(
         job: Job,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         pass: PlacementPass,
     ): Boolean {
         if (job.spec.isGang) return false
         if (!pass.jobUpdates.isTeamFree(job.spec.team)) return false
         if (pass.teams.tasks(job.spec) <= 0) return false
-        val found = placer.place(job.spec, job.waitingTasks(), rooms, candidates.zonesOf(job), 1, pass.isOverloaded)
+        val request = PlacementRequest(job.spec, job.waitingTasks(), candidates.zonesOf(job), limit = 1, pass.isOverloaded)
+        val found = placer.place(request, rooms)
         return found.any { (_, machine) -> isReady(machine, rooms) }
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
@@ -1,10 +1,10 @@
 package mintpick.engine.scheduling
 
+import mintpick.core.CandidateMachine
 import mintpick.core.Job
 import mintpick.core.MachineId
 import mintpick.core.MachineView
 import mintpick.core.Resources
-import mintpick.core.Room
 import mintpick.core.capacity
 import mintpick.engine.agents.AgentRegistry
 import mintpick.engine.agents.CommandPlanner
@@ -41,7 +41,7 @@
     val ownMachineCount: Int get() = agents.controlled.size
 
     /** Room on this controller's own machines, less what [jobUpdates] has under way. */
-    fun ownRooms(jobUpdates: JobUpdates): List<Room> =
+    fun ownRooms(jobUpdates: JobUpdates): List<CandidateMachine> =
         agents.controlled.mapNotNull { id ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.control(id)
@@ -50,7 +50,7 @@
         }
 
     /** Room on the other controllers' machines that they have heard from lately. */
-    fun othersRooms(jobUpdates: JobUpdates): List<Room> =
+    fun othersRooms(jobUpdates: JobUpdates): List<CandidateMachine> =
         health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.control(id)
@@ -72,7 +72,7 @@
     private fun roomOn(
         candidate: Candidate,
         jobUpdates: JobUpdates,
-    ): Room? {
+    ): CandidateMachine? {
         val machine = candidate.machine
         val type = cache.types[machine.record.type]
         if (type == null || !mayTakeWork(machine)) return null
@@ -80,7 +80,7 @@
         if (view != null && commandPlanner.isDraining(view, candidate.claim)) return null
         val isSettling = candidate.isOwn && agents.isAcquiring(machine.id)
         if (candidate.isOwn && !isSettling && !isUsable(view)) return null
-        return Room(
+        return CandidateMachine(
             machine = machine.id,
             type = machine.record.type,
             zone = machine.record.zone,
@@ -88,9 +88,9 @@
             free = freeOn(machine.id, type, jobUpdates),
             total = type.capacity,
             hasImage = { view?.hasImage(it) == true || it in candidate.hintedImages },
-            own = candidate.isOwn,
-            yielding = cache.usedOn(machine.id) - cache.servicesOn(machine.id),
-            ready = !isSettling,
+            isOwned = candidate.isOwn,
+            preemptible = cache.usedOn(machine.id) - cache.servicesOn(machine.id),
+            isReady = !isSettling,
         )
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -1,10 +1,10 @@
 package mintpick.engine.scheduling
 
+import mintpick.core.CandidateMachine
+import mintpick.core.Candidates
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineId
-import mintpick.core.Placer
-import mintpick.core.Room
 import mintpick.core.TeamQuota
 import mintpick.core.isGang
 import mintpick.core.isProduction
@@ -14,14 +14,14 @@
 /** The machines that one pass may place tasks on. What is taken of a machine is taken in both views. */
 class PassRooms(
     /** The machines of this controller's shards and those that it borrows. */
-    val own: Placer.Rooms,
-    others: () -> List<Room>,
+    val own: Candidates,
+    others: () -> List<CandidateMachine>,
 ) {
     /**
      * Every controller's machines. Built only when asked for: only the leader needs them, and only for what no shard can hold.
      * It is sorted by what is free when it is first asked for.
      */
-    val all: Placer.Rooms by lazy { own.with(others()) }
+    val all: Candidates by lazy { own.with(others()) }
 }
 
 /** What one scheduling pass works with, and what has come of it so far. */
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -2,18 +2,19 @@
 
 import mintpick.config.Operators
 import mintpick.core.AttemptId
-import mintpick.core.Claimant
-import mintpick.core.Contract
+import mintpick.core.CandidateMachine
+import mintpick.core.Candidates
+import mintpick.core.FundingPolicy
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MachineId
 import mintpick.core.Micros
-import mintpick.core.Occupant
 import mintpick.core.Placer
 import mintpick.core.PreemptionPolicy
 import mintpick.core.PreemptionReason
+import mintpick.core.Preemptor
 import mintpick.core.Resources
-import mintpick.core.Room
+import mintpick.core.RunningTask
 import mintpick.core.SECOND
 import mintpick.core.demand
 import mintpick.core.isProduction
@@ -45,7 +46,7 @@
 
     /** What would have to be preempted on one machine to make room for one task. */
     private class Plan(
-        val room: Room,
+        val room: CandidateMachine,
         val victims: List<Victim>,
         val lostCpuMicros: Double,
     )
@@ -71,51 +72,51 @@
      */
     fun preemptFor(
         job: Job,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         perZone: Map<String, Int>,
     ) {
         if (!job.spec.isProduction && !usageAccounting.isFunded(job.id)) return
         if (context.now < (jobPausedUntil[job.id] ?: 0)) return
         jobPausedUntil[job.id] = context.now + JOB_PAUSE
-        val claimant = claimantOf(job)
+        val preemptor = preemptorOf(job)
         val zoneCounts = HashMap(perZone)
-        val sample = rooms.some(context.random, SAMPLED_MACHINES)
+        val sample = rooms.sample(context.random, SAMPLED_MACHINES)
         repeat(minOf(job.waiting, MAX_MACHINES_AT_ONCE)) {
-            val plan = cheapestPlan(job.spec, sample, zoneCounts, claimant) ?: return
+            val plan = cheapestPlan(job.spec, sample, zoneCounts, preemptor) ?: return
             zoneCounts.merge(plan.room.zone, 1, Int::plus)
             carryOut(plan, job)
         }
     }
 
-    private fun claimantOf(job: Job): Claimant {
+    private fun preemptorOf(job: Job): Preemptor {
         val isFunded = usageAccounting.isFunded(job.id)
         val isOverShare = usageAccounting.isOverShare(job.spec.team)
-        return Claimant(job.spec.team, job.spec.priority, isFunded, isOverShare)
+        return Preemptor(job.spec.team, job.spec.priority, isFunded, isOverShare)
     }
 
     private fun cheapestPlan(
         spec: JobSpec,
-        sample: List<Room>,
+        sample: List<CandidateMachine>,
         zoneCounts: Map<String, Int>,
-        claimant: Claimant,
+        preemptor: Preemptor,
     ): Plan? =
         sample
             .filter { Placer.allowed(spec, it.type, it.zone, it.spot) }
             .filter { (zoneCounts[it.zone] ?: 0) < spec.zoneCap }
             .filter { context.now >= (machinePausedUntil[it.machine] ?: 0) }
-            .mapNotNull { planOn(it, spec.demand, claimant) }
+            .mapNotNull { planOn(it, spec.demand, preemptor) }
             .minByOrNull { it.lostCpuMicros }
 
     /** The latest tasks that yield on the machine of [room], until [demand] fits; null if it never does, or fits as it is. */
     private fun planOn(
-        room: Room,
+        room: CandidateMachine,
         demand: Resources,
-        claimant: Claimant,
+        preemptor: Preemptor,
     ): Plan? {
         var free = room.free
         var lostCpuMicros = 0.0
         val victims = ArrayList<Victim>()
-        for (victim in victimsOn(room.machine, claimant)) {
+        for (victim in victimsOn(room.machine, preemptor)) {
             if (demand.fits(free)) break
             val spec = cache.job(victim.attempt.task.job)?.spec ?: continue
             free += spec.demand
@@ -126,37 +127,37 @@
         return Plan(room, victims, lostCpuMicros)
     }
 
-    /** What yields to [claimant] on [machine], the latest assignment first: the least of its work is lost. */
+    /** What yields to [preemptor] on [machine], the latest assignment first: the least of its work is lost. */
     private fun victimsOn(
         machine: MachineId,
-        claimant: Claimant,
+        preemptor: Preemptor,
     ): List<Victim> =
         cache
             .tasksOn(machine)
             .map { (task, attempt) -> AttemptId(task, attempt) }
             .filter { it !in commandPlanner.stopping }
-            .mapNotNull { attempt -> reasonToPreempt(attempt, claimant)?.let { Victim(attempt, it) } }
+            .mapNotNull { attempt -> reasonToPreempt(attempt, preemptor)?.let { Victim(attempt, it) } }
             .sortedByDescending { assignmentAges.sinceUs(it.attempt) }
 
     private fun reasonToPreempt(
         attempt: AttemptId,
-        claimant: Claimant,
+        preemptor: Preemptor,
     ): PreemptionReason? {
         val job = cache.job(attempt.task.job) ?: return null
         if (job.stage != StoredStage.OPEN) return null
-        return PreemptionPolicy.reason(occupantOf(job, attempt), claimant)
+        return PreemptionPolicy.reason(runningTaskOf(job, attempt), preemptor)
     }
 
-    private fun occupantOf(
+    private fun runningTaskOf(
         job: Job,
         attempt: AttemptId,
-    ): Occupant {
+    ): RunningTask {
         val spec = job.spec
         val fetchUs = imageFetchUs(job, attempt)
-        val minimumRuntimeUs = Contract.minimumRuntime(spec, fetchUs, operators.minimumRuntimeCapUs)
+        val minimumRuntimeUs = FundingPolicy.minimumRuntime(spec, fetchUs, operators.minimumRuntimeCapUs)
         val isExpired = assignmentAges.ageUs(attempt) > minimumRuntimeUs
         val isOverShare = usageAccounting.isOverShare(spec.team)
-        return Occupant(spec.team, spec.priority, usageAccounting.isFunded(job.id), isExpired, isOverShare)
+        return RunningTask(spec.team, spec.priority, usageAccounting.isFunded(job.id), isExpired, isOverShare)
     }
 
     /** How long a machine of the type that [attempt] is on takes to fetch the image of [job]; 0 if that is not known. */
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -1,10 +1,10 @@
 package mintpick.engine.scheduling
 
+import mintpick.core.Candidates
 import mintpick.core.Job
 import mintpick.core.JobId
 import mintpick.core.MILLI
 import mintpick.core.Micros
-import mintpick.core.Placer
 import mintpick.core.TeamQuota
 import mintpick.core.isProduction
 import mintpick.engine.jobs.JobUpdates
@@ -107,7 +107,7 @@
         draftOf: (JobId) -> JobUpdate?,
         waitingJobs: Int,
     ): PlacementPass {
-        val own = Placer.Rooms.of(candidates.ownRooms(jobUpdates))
+        val own = Candidates.of(candidates.ownRooms(jobUpdates))
         val writeBudget = jobUpdates.writeBudget()
         return PlacementPass(
             jobUpdates,
@@ -147,7 +147,7 @@
     private fun onNoRoom(
         job: Job,
         unchangedUs: Micros,
-        rooms: Placer.Rooms,
+        rooms: Candidates,
         pass: PlacementPass,
     ) {
         pass.lacksCapacity = true
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -123,7 +123,7 @@
     /** The teams' ranks by fair share; judged once for each refresh of their use. */
     fun teamRanks(): TeamRanks {
         refresh()
-        return ranks ?: TeamRanks(tree.places(::use)).also { ranks = it }
+        return ranks ?: TeamRanks(tree.ranks(::use)).also { ranks = it }
     }
 
     /** Whether [team] has used more than its share of what all have used. */
--- a/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -86,8 +86,7 @@
         built = null
     }
 
-    private fun build(): Job =
-        edits.entries.fold(before.with(stage = stage)) { job, (index, edit) -> job.with(chunk = index to edit.build()) }
+    private fun build(): Job = edits.entries.fold(before.with(stage = stage)) { job, (index, edit) -> job.withChunk(index, edit.build()) }
 
     /** The chunk of [task]; null if it is one too many for a transaction: what is left out is planned again after it. */
     private fun editOf(task: Int): ChunkEdit? {
--- a/src/main/kotlin/mintpick/store/RecordCodec.kt
+++ b/src/main/kotlin/mintpick/store/RecordCodec.kt
@@ -4,6 +4,7 @@
 import mintpick.core.Chunk
 import mintpick.core.Job
 import mintpick.core.JobId
+import mintpick.core.JobRecordInfo
 import mintpick.core.MachineId
 import mintpick.core.Placement
 import mintpick.wire.ChunkRecord
@@ -86,7 +87,8 @@
     ): Job? {
         val spec = record.spec ?: apart ?: return null
         val first = chunk(record.chunk ?: ChunkRecord(), minOf(Job.CHUNK, spec.tasks), version)
-        return Job(id, spec, record.stage, record.submittedUs, version, others + (0 to first), specPieces = record.specPieces ?: 0)
+        val info = JobRecordInfo(version, record.specPieces ?: 0)
+        return Job(id, spec, record.stage, record.submittedUs, info, others + (0 to first))
     }
 
     fun machineListJson(
--- a/src/test/kotlin/mintpick/core/FairShareTest.kt
+++ b/src/test/kotlin/mintpick/core/FairShareTest.kt
@@ -53,23 +53,26 @@
         val random = SplittableRandom(5)
         repeat(300) {
             val guarantee = Resources(random.nextInt(1, 64).toDouble(), 0.0, 0.0)
-            val jobs = List(random.nextInt(1, 8)) { JobId("req-$it") to Resources(random.nextInt(1, 20).toDouble(), 0.0, 9.0) }
-            val funded = Contract.funded(guarantee, jobs)
-            assertTrue(jobs.filter { it.first in funded }.sumOf { it.second.cpus } <= guarantee.cpus)
-            assertEquals(jobs.take(funded.size).map { it.first }.toSet(), funded, "only a prefix is funded")
+            val jobs = List(random.nextInt(1, 8)) { UnfinishedJob(JobId("req-$it"), Resources(random.nextInt(1, 20).toDouble(), 0.0, 9.0)) }
+            val funded = FundingPolicy.funded(guarantee, jobs)
+            assertTrue(jobs.filter { it.id in funded }.sumOf { it.demand.cpus } <= guarantee.cpus)
+            assertEquals(jobs.take(funded.size).map { it.id }.toSet(), funded, "only a prefix is funded")
             jobs.getOrNull(funded.size)?.let { next ->
-                assertTrue(jobs.take(funded.size).sumOf { it.second.cpus } + next.second.cpus > guarantee.cpus)
+                assertTrue(jobs.take(funded.size).sumOf { it.demand.cpus } + next.demand.cpus > guarantee.cpus)
             }
         }
-        assertEquals(emptySet<JobId>(), Contract.funded(Resources.ZERO, listOf(JobId("req-1") to Resources(1.0, 0.0, 0.0))))
+        assertEquals(
+            emptySet<JobId>(),
+            FundingPolicy.funded(Resources.ZERO, listOf(UnfinishedJob(JobId("req-1"), Resources(1.0, 0.0, 0.0)))),
+        )
     }
 
     @Test
     fun `a minimum runtime is never below the image fetch nor above the cap`() {
         val cap = 600 * SECOND
-        assertEquals(10 * SECOND, Contract.minimumRuntime(SampleJobs.spec(estimateS = 10.0), 2 * SECOND, cap))
-        assertEquals(20 * SECOND, Contract.minimumRuntime(SampleJobs.spec(estimateS = 10.0), 20 * SECOND, cap))
-        assertEquals(cap, Contract.minimumRuntime(SampleJobs.spec(estimateS = 9000.0), SECOND, cap))
-        assertEquals(cap, Contract.minimumRuntime(SampleJobs.spec(kind = JobKind.SERVICE), SECOND, cap))
+        assertEquals(10 * SECOND, FundingPolicy.minimumRuntime(SampleJobs.spec(estimateS = 10.0), 2 * SECOND, cap))
+        assertEquals(20 * SECOND, FundingPolicy.minimumRuntime(SampleJobs.spec(estimateS = 10.0), 20 * SECOND, cap))
+        assertEquals(cap, FundingPolicy.minimumRuntime(SampleJobs.spec(estimateS = 9000.0), SECOND, cap))
+        assertEquals(cap, FundingPolicy.minimumRuntime(SampleJobs.spec(kind = JobKind.SERVICE), SECOND, cap))
     }
 }
--- a/src/test/kotlin/mintpick/core/MachineViewTest.kt
+++ b/src/test/kotlin/mintpick/core/MachineViewTest.kt
@@ -39,7 +39,7 @@
         view.take(report(1, token = 4), 1, direct = false)
         assertEquals(Proof.None, view.proof(attempt, 5))
         view.take(report(2, token = 5), 2, direct = false)
-        assertEquals(Proof.Over(null), view.proof(attempt, 5))
+        assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
     @Test
@@ -54,7 +54,7 @@
             assertFalse(view.mayForget(attempt, 5))
             assertTrue(view.needsHigherToken)
             view.take(report(3, token, session), 3, direct = false)
-            assertEquals(Proof.Over(null), view.proof(attempt, token))
+            assertEquals(Proof.Ended(null), view.proof(attempt, token))
         }
     }
 
@@ -67,7 +67,7 @@
         view.take(report(2), 2, direct = true)
         assertEquals(Proof.None, view.proof(attempt, 5))
         view.take(report(3), 3, direct = false)
-        assertEquals(Proof.Over(null), view.proof(attempt, 5))
+        assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
     @Test
@@ -81,10 +81,10 @@
     @Test
     fun `images give way to newer ones as the cache fills`() {
         val view = view()
-        view.sawImage("a", 2.0, 5.0)
-        view.sawImage("b", 2.0, 5.0)
-        view.sawImage("a", 2.0, 5.0)
-        view.sawImage("c", 2.0, 5.0)
+        view.recordImage("a", 2.0, 5.0)
+        view.recordImage("b", 2.0, 5.0)
+        view.recordImage("a", 2.0, 5.0)
+        view.recordImage("c", 2.0, 5.0)
         assertEquals(setOf("a", "c"), view.imageNames)
     }
 
@@ -132,7 +132,7 @@
         view.take(report(2), 2, direct = true)
         assertEquals(Proof.None, view.proof(attempt, 5))
         view.take(report(3, session = 2), 3, direct = true)
-        assertEquals(Proof.Over(null), view.proof(attempt, 5))
+        assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
     /** A start is lost, and its repetition with the same token is answered: the first may still be carried out. */
--- a/src/test/kotlin/mintpick/core/PlacerTest.kt
+++ b/src/test/kotlin/mintpick/core/PlacerTest.kt
@@ -7,11 +7,11 @@
 import java.util.SplittableRandom
 
 class PlacerTest {
-    private fun rooms(random: SplittableRandom): List<Room> =
+    private fun rooms(random: SplittableRandom): List<CandidateMachine> =
         List(random.nextInt(1, 20)) {
             val total = Resources(16.0, 0.0, 64.0)
             val used = random.nextDouble()
-            Room(
+            CandidateMachine(
                 MachineId("m$it"),
                 "small",
                 if (random.nextBoolean()) "north" else "south",
@@ -37,21 +37,19 @@
                     zone = if (round % 5 == 4) "north" else null,
                 )
             val placed =
-                Placer(
-                    SplittableRandom(1),
-                    8,
-                ).place(spec, (0 until spec.tasks).asSequence(), Placer.Rooms.of(rooms), emptyMap(), 100)
+                Placer(SplittableRandom(1), 8)
+                    .place(PlacementRequest(spec, (0 until spec.tasks).asSequence(), emptyMap(), 100), Candidates.of(rooms))
             val byId = rooms.associateBy { it.machine }
-            placed.groupBy { it.second }.forEach { (machine, tasks) ->
+            placed.groupBy { it.machine }.forEach { (machine, tasks) ->
                 assertTrue((spec.demand * tasks.size.toDouble()).fits(byId.getValue(machine).free))
             }
-            val used = placed.map { byId.getValue(it.second) }
+            val used = placed.map { byId.getValue(it.machine) }
             assertTrue(used.all { spec.spot || !it.spot })
             assertTrue(used.all { spec.zone == null || it.zone == spec.zone })
             val zones = used.groupingBy { it.zone }.eachCount()
             if (spec.spread) assertTrue(zones.values.all { it <= (spec.tasks + 1) / 2 })
             if (spec.oneZone) assertTrue(zones.size <= 1)
-            assertEquals(placed.size, placed.map { it.first }.toSet().size)
+            assertEquals(placed.size, placed.map { it.task }.toSet().size)
         }
     }
 
@@ -93,7 +91,7 @@
                 mintpick.wire.MachineType("small", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north")),
             ).associateBy { it.name }
         val total = Resources(8.0, 0.0, 32.0)
-        val full = Room(MachineId("m"), "small", "north", false, Resources.ZERO, total, { false }, true, yielding = total)
+        val full = CandidateMachine(MachineId("m"), "small", "north", false, Resources.ZERO, total, { false }, true, preemptible = total)
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { true }
         val service = CapacityDemand(SampleJobs.spec(kind = mintpick.wire.JobKind.SERVICE, spot = false, cpus = 1.0), 3)
         assertEquals(emptyMap<Offer, Int>(), scaleOutPlanner.plan(listOf(full), listOf(service), 5).newMachines)
@@ -116,7 +114,10 @@
                 it.name
             }
         val total = Resources(8.0, 0.0, 32.0)
-        val rooms = listOf(true, false).map { spot -> Room(MachineId("spot-$spot"), "small", "north", spot, total, total, { false }, true) }
+        val rooms =
+            listOf(true, false).map { spot ->
+                CandidateMachine(MachineId("spot-$spot"), "small", "north", spot, total, total, { false }, true)
+            }
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north")) { false }
         val spec = SampleJobs.spec(cpus = 4.0)
         assertEquals(
@@ -136,13 +137,13 @@
         val rooms =
             List(80) {
                 val zone = if (it < 60) "north" else "south"
-                Room(MachineId("m$it"), "large", zone, false, if (it < 60) total * 0.5 else total, total, { false }, true)
+                CandidateMachine(MachineId("m$it"), "large", zone, false, if (it < 60) total * 0.5 else total, total, { false }, true)
             }
         val spec = SampleJobs.spec(tasks = 4, cpus = 1.0, spot = false, spread = true)
         for (perZone in listOf(mapOf("north" to 2), emptyMap())) {
             val tasks = (perZone.values.sum() until spec.tasks).asSequence()
-            val placed = Placer(SplittableRandom(1), 32).place(spec, tasks, Placer.Rooms.of(rooms), perZone, 4)
-            assertEquals(tasks.toList(), placed.map { it.first }, "$perZone")
+            val placed = Placer(SplittableRandom(1), 32).place(PlacementRequest(spec, tasks, perZone, 4), Candidates.of(rooms))
+            assertEquals(tasks.toList(), placed.map { it.task }, "$perZone")
         }
     }
 }
--- a/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
+++ b/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
@@ -16,44 +16,50 @@
     private val config = PropTestConfig(seed = 41, iterations = 3_000)
     private val teams = Arb.element("red", "blue")
     private val claimants =
-        arbitrary { Claimant(teams.bind(), Arb.element(Priority.entries).bind(), Arb.boolean().bind(), Arb.boolean().bind()) }
+        arbitrary { Preemptor(teams.bind(), Arb.element(Priority.entries).bind(), Arb.boolean().bind(), Arb.boolean().bind()) }
     private val occupants =
         arbitrary {
-            Occupant(teams.bind(), Arb.element(Priority.entries).bind(), Arb.boolean().bind(), Arb.boolean().bind(), Arb.boolean().bind())
+            RunningTask(
+                teams.bind(),
+                Arb.element(Priority.entries).bind(),
+                Arb.boolean().bind(),
+                Arb.boolean().bind(),
+                Arb.boolean().bind(),
+            )
         }
 
     @Test
     fun `a funded task inside its window is never a victim`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { occupant, claimant ->
-                if (occupant.funded && !occupant.expired) assertFalse(PreemptionPolicy.yields(occupant, claimant))
+            checkAll(config, occupants, claimants) { victim, preemptor ->
+                if (victim.isFunded && !victim.isExpired) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
             }
         }
 
     @Test
     fun `unallocated work yields to every funded request that the platform lets stop it`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { occupant, claimant ->
-                val allowed = claimant.priority < occupant.priority || claimant.team != occupant.team
-                if (!occupant.funded && claimant.funded && allowed) assertTrue(PreemptionPolicy.yields(occupant, claimant))
+            checkAll(config, occupants, claimants) { victim, preemptor ->
+                val allowed = preemptor.priority < victim.priority || preemptor.team != victim.team
+                if (!victim.isFunded && preemptor.isFunded && allowed) assertTrue(PreemptionPolicy.isPreempted(victim, preemptor))
             }
         }
 
     @Test
     fun `nothing yields to unallocated requests but services before batch work`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { occupant, claimant ->
-                val service = claimant.priority == Priority.PRODUCTION && occupant.priority != Priority.PRODUCTION
-                if (!claimant.funded && !service) assertFalse(PreemptionPolicy.yields(occupant, claimant))
+            checkAll(config, occupants, claimants) { victim, preemptor ->
+                val service = preemptor.priority == Priority.PRODUCTION && victim.priority != Priority.PRODUCTION
+                if (!preemptor.isFunded && !service) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
             }
         }
 
     @Test
     fun `expired funded work yields only from a team over share to one that is not`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { occupant, claimant ->
-                if (occupant.funded && PreemptionPolicy.yields(occupant, claimant)) {
-                    assertTrue(occupant.expired && occupant.teamOverShare && !claimant.teamOverShare)
+            checkAll(config, occupants, claimants) { victim, preemptor ->
+                if (victim.isFunded && PreemptionPolicy.isPreempted(victim, preemptor)) {
+                    assertTrue(victim.isExpired && victim.isTeamOverShare && !preemptor.isTeamOverShare)
                 }
             }
         }
--- a/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -3,6 +3,7 @@
 import mintpick.core.Chunk
 import mintpick.core.Job
 import mintpick.core.JobId
+import mintpick.core.JobRecordInfo
 import mintpick.core.MILLI
 import mintpick.core.MachineId
 import mintpick.core.Micros
@@ -110,7 +111,7 @@
         tasks: Int = 1,
     ): Change {
         val spec = SampleJobs.spec("req-%06d".format(n), tasks = tasks)
-        val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 0, 0, emptyMap())
+        val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 0, JobRecordInfo(version = 0), emptyMap())
         return Change(put = Keys.job(spec.id), value = RecordCodec.jobJson(job, RecordFormat.VERBOSE))
     }
 
--- a/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
+++ b/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
@@ -12,6 +12,7 @@
 import mintpick.core.Chunk
 import mintpick.core.Job
 import mintpick.core.JobId
+import mintpick.core.JobRecordInfo
 import mintpick.core.MachineId
 import mintpick.core.Placement
 import mintpick.testing.SampleJobs
@@ -52,7 +53,7 @@
                 }
             val spec = SampleJobs.spec("req-123456789", "a team of some length", tasks = 100_000, estimateS = 123.456)
             val chunk = Chunk(0, Job.CHUNK, placed, BitSet(), emptyMap())
-            val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 1_700_000_000_000_000, 7, mapOf(0 to chunk))
+            val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 1_700_000_000_000_000, JobRecordInfo(version = 7), mapOf(0 to chunk))
             val value = RecordCodec.jobJson(job, RecordFormat.COMPACT)
             assertTrue(value.toString().length <= valueBytes, "${value.toString().length} B")
             val again = RecordCodec.job(job.id, RecordCodec.decodeJob(value), 7, emptyMap())
