--- a/src/main/kotlin/mintpick/cli/Main.kt
+++ b/src/main/kotlin/mintpick/cli/Main.kt
@@ -4,13 +4,7 @@
 import mintpick.config.Operators
 import mintpick.config.OperatorsFile
 import mintpick.config.Settings
-import mintpick.core.MILLI
-import mintpick.engine.Engine
-import mintpick.engine.EventLoop
-import mintpick.engine.runtime.Event
-import mintpick.net.HttpCaller
 import mintpick.net.JdkServer
-import mintpick.users.Routes
 import org.slf4j.LoggerFactory
 import picocli.CommandLine
 import picocli.CommandLine.Command
@@ -21,6 +15,7 @@
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 
+/** The command line. Settings that are missing or wrong end it with a usage error and one line on standard error. */
 @Command(name = "mintpick", mixinStandardHelpOptions = true, version = ["mintpick 0.1.0"], description = ["A cluster scheduler."])
 class MintpickCommand : Callable<Int> {
     @Option(names = ["--config"], paramLabel = "FILE", description = ["The platform's settings (TOML)."])
@@ -32,65 +27,75 @@
     @Option(names = ["--check"], description = ["Check the settings and end."])
     private var checkOnly: Boolean = false
 
-    /** For the build alone: see ClassDataTraining. */
+    /** For the build alone: see [ClassDataTraining]. */
     @Option(names = ["--train-class-data"], hidden = true)
     private var trainClassData: Boolean = false
 
+    /** What the files given on the command line say. */
+    private data class LoadedSettings(
+        val settings: Settings,
+        val operators: Operators,
+    )
+
+    /** Runs the service until its thread is interrupted, or what the options ask for instead; returns the exit code. */
     override fun call(): Int {
         if (trainClassData) {
             ClassDataTraining.run()
             return CommandLine.ExitCode.OK
         }
-        val path = config
-        if (path == null) {
-            System.err.println("mintpick: --config: missing")
-            return CommandLine.ExitCode.USAGE
-        }
-        val (settings, own) =
+        val path = config ?: return usageError("--config: missing")
+        val loaded =
             try {
-                Settings.load(path) to (operators?.let { OperatorsFile.load(it) } ?: Operators())
+                load(path)
             } catch (e: ConfigException) {
-                System.err.println("mintpick: ${e.message}")
-                return CommandLine.ExitCode.USAGE
+                return usageError(e.message)
             }
         if (checkOnly) {
-            println("mintpick: settings of ${settings.node} are valid")
-            return CommandLine.ExitCode.OK
+            println("mintpick: settings of ${loaded.settings.node} are valid")
+        } else {
+            serve(loaded)
         }
-        serve(settings, own)
         return CommandLine.ExitCode.OK
     }
 
-    private fun serve(
-        settings: Settings,
-        operators: Operators,
-    ) {
-        val log = LoggerFactory.getLogger("mintpick")
-        JdkServer.prepare(settings.resources.maxConnections * 3 / 4)
-        val engine = Engine(settings, operators, SplittableRandom(SecureRandom().nextLong()))
-        lateinit var eventLoop: EventLoop
-        val caller = HttpCaller { id, outcome -> eventLoop.put(Event.CallDone(id, outcome)) }
-        val steady = { System.nanoTime() / MILLI }
-        eventLoop = EventLoop(engine, caller::start, steady, { System.currentTimeMillis() * MILLI })
-        val routes = Routes(eventLoop::offer, eventLoop::isUp, maxOf(MIN_WAITING, settings.resources.maxConnections / WAITING_PART), steady)
-        JdkServer(settings.mesh, MESH_THREADS).start(routes.mesh)
-        JdkServer(settings.api, API_THREADS).start(routes.api)
-        Thread(null, { while (true) routes.giveUpLate().also { Thread.sleep(LATE_MS) } }, "late").apply { isDaemon = true }.start()
-        log.info("started node={} zone={} api={} mesh={}", settings.node, settings.zone, settings.api, settings.mesh)
-        eventLoop.run()
+    private fun usageError(message: String?): Int {
+        System.err.println("mintpick: $message")
+        return CommandLine.ExitCode.USAGE
+    }
+
+    private fun load(config: Path): LoadedSettings {
+        val settings = Settings.load(config)
+        return LoadedSettings(settings, operators?.let { OperatorsFile.load(it) } ?: Operators())
+    }
+
+    private fun serve(loaded: LoadedSettings) {
+        val settings = loaded.settings
+        val maxConnections = settings.resources.maxConnections
+        JdkServer.prepare(maxConnections * KEPT_NUMERATOR / KEPT_DENOMINATOR)
+        val limits = ServiceLimits(API_THREADS, MESH_THREADS, maxOf(MIN_WAITING, maxConnections / CONNECTIONS_PER_WAITING))
+        Service(settings, loaded.operators, SplittableRandom(SecureRandom().nextLong()), limits).use { service ->
+            service.start()
+            LOG.info("started node={} zone={} api={} mesh={}", settings.node, settings.zone, settings.api, settings.mesh)
+            service.run()
+        }
     }
 
     private companion object {
+        val LOG = LoggerFactory.getLogger("mintpick")
         const val MESH_THREADS = 6
         const val API_THREADS = 32
 
+        /** Three quarters of the connections may be kept open while idle. */
+        const val KEPT_NUMERATOR = 3
+        const val KEPT_DENOMINATOR = 4
+
         /** Users' requests that may wait at once: a part of the sockets, so that workers and health checks keep theirs. */
         const val MIN_WAITING = 48
-        const val WAITING_PART = 8
-        const val LATE_MS = 250L
+        const val CONNECTIONS_PER_WAITING = 8
     }
 }
 
+/** Runs the command line and ends the process with its exit code. The environment variable LOG_LEVEL sets the log's level. */
 fun main(args: Array<String>) {
     Logging.configure(System.getenv("LOG_LEVEL"))
     exitProcess(CommandLine(MintpickCommand()).execute(*args))
--- /dev/null
+++ b/src/main/kotlin/mintpick/cli/Service.kt
@@ -0,0 +1,93 @@
+package mintpick.cli
+
+import mintpick.config.Operators
+import mintpick.config.Settings
+import mintpick.core.MILLI
+import mintpick.core.Micros
+import mintpick.engine.Engine
+import mintpick.engine.EventLoop
+import mintpick.engine.runtime.Event
+import mintpick.net.HttpCaller
+import mintpick.net.JdkServer
+import mintpick.net.Outcome
+import mintpick.users.Routes
+import java.util.SplittableRandom
+
+/**
+ * How much the service takes on at once.
+ *
+ * @param apiThreads threads that read requests of users, workers and health checks
+ * @param meshThreads threads that read requests of other controllers
+ * @param waitingUserRequests users' requests that may wait for their answer
+ */
+internal data class ServiceLimits(
+    val apiThreads: Int,
+    val meshThreads: Int,
+    val waitingUserRequests: Int,
+)
+
+/**
+ * The engine with its event loop, its servers and its outgoing calls. Started and closed by one thread, which may also be the
+ * one that [run]s the event loop.
+ */
+internal class Service(
+    private val settings: Settings,
+    operators: Operators,
+    random: SplittableRandom,
+    private val limits: ServiceLimits,
+) : AutoCloseable {
+    private val caller = HttpCaller(::putOutcome)
+    private val eventLoop: EventLoop = EventLoop(Engine(settings, operators, random), caller::start, ::steadyUs, ::wallUs)
+    private val routes = Routes(eventLoop::offer, eventLoop::isUp, limits.waitingUserRequests, ::steadyUs)
+    private val meshServer = JdkServer(settings.mesh, limits.meshThreads)
+    private val apiServer = JdkServer(settings.api, limits.apiThreads)
+    private val overdueCheck = Thread(null, ::checkOverdue, "overdue").apply { isDaemon = true }
+
+    /**
+     * Opens the servers; requests wait until the event loop runs.
+     *
+     * @throws java.io.IOException if an address can't be bound; what was opened until then is closed by [close]
+     */
+    fun start() {
+        meshServer.start(routes.mesh)
+        apiServer.start(routes.api)
+        overdueCheck.start()
+    }
+
+    /** Runs the event loop on this thread until it is interrupted; the interrupt flag is set then. */
+    fun run() = eventLoop.run()
+
+    /** Closes servers and connections at once; the event loop must have ended. */
+    override fun close() {
+        overdueCheck.interrupt()
+        apiServer.stop()
+        meshServer.stop()
+        caller.stop()
+    }
+
+    private fun putOutcome(
+        id: Long,
+        outcome: Outcome,
+    ) = eventLoop.put(Event.CallDone(id, outcome))
+
+    private fun checkOverdue() {
+        try {
+            while (true) {
+                routes.giveUpLate()
+                Thread.sleep(OVERDUE_CHECK_MS)
+            }
+        } catch (_: InterruptedException) {
+            // The service is closed; the flag is for whoever looks at this thread.
+            Thread.currentThread().interrupt()
+        }
+    }
+
+    private companion object {
+        const val OVERDUE_CHECK_MS = 250L
+        const val NANOS_PER_MICRO = 1_000L
+
+        fun steadyUs(): Micros = System.nanoTime() / NANOS_PER_MICRO
+
+        fun wallUs(): Micros = System.currentTimeMillis() * MILLI
+    }
+}
--- a/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
@@ -105,7 +105,7 @@
 
     /** The machines of one partition, by the pieces that its list is stored in. */
     fun listsOf(partition: Int): Map<Int, Map<MachineId, MachineRecord>> =
-        idsByList.filterKeys { it.part == partition }.entries.associate { (list, ids) -> list.piece to recordsOf(ids) }
+        idsByList.filterKeys { it.partition == partition }.entries.associate { (list, ids) -> list.piece to recordsOf(ids) }
 
     private fun recordsOf(ids: Set<MachineId>): Map<MachineId, MachineRecord> =
         ids.mapNotNull { id -> machinesById[id]?.let { id to it.record } }.toMap()
--- a/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
+++ b/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
@@ -76,7 +76,7 @@
     private fun sendRenewal(lease: Long) {
         renewalInFlight = true
         nextRenewalUs = context.now + RENEWAL_INTERVAL
-        connection.request(protocol.touch(lease), protocol::readTouch) { result ->
+        connection.request(protocol.renew(lease), protocol::readRenewal) { result ->
             renewalInFlight = false
             if (result is StateResult.Gone && session.lease == lease) session.leaseLost("expired")
             if (result is StateResult.Limited) nextRenewalUs = context.now + StateServiceConnection.RETRY_DELAY
--- a/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
+++ b/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
@@ -62,7 +62,7 @@
     /** With several pages nobody serves before that: a guard from a later page would hold although changes from before it are not known. */
     private fun catchUp() {
         session.setupSent()
-        connection.request(protocol.follow(context.cache.revision, 0), protocol::readEvents) { result ->
+        connection.request(protocol.watch(context.cache.revision, 0), protocol::readWatch) { result ->
             session.setupDone()
             if (watch.apply(result)) finish() else session.delaySetup(StateServiceConnection.RETRY_DELAY)
         }
--- a/src/main/kotlin/mintpick/engine/state/WatchReader.kt
+++ b/src/main/kotlin/mintpick/engine/state/WatchReader.kt
@@ -83,9 +83,9 @@
         watchOpen = true
         val copy = context.cache
         val sent = context.now
-        context.call(protocol.follow(copy.revision, WATCH_TIMEOUT)) { outcome ->
+        context.call(protocol.watch(copy.revision, WATCH_TIMEOUT)) { outcome ->
             // The watch of a cache that has been reset meanwhile is not counted as open any more.
-            if (copy === context.cache) onWatchAnswer(sent, protocol.readEvents(outcome))
+            if (copy === context.cache) onWatchAnswer(sent, protocol.readWatch(outcome))
         }
     }
 
@@ -132,9 +132,9 @@
         val sent = context.now
         val copy = context.cache
         nextCatchUpUs = sent + CATCH_UP_INTERVAL
-        context.call(protocol.follow(copy.revision, 0)) { outcome ->
+        context.call(protocol.watch(copy.revision, 0)) { outcome ->
             catchUpInFlight = false
-            val result = protocol.readEvents(outcome)
+            val result = protocol.readWatch(outcome)
             statistics.record(sent, result)
             // From before the records were read anew it says nothing of the new cache.
             val isCaughtUp = copy === context.cache && apply(result)
--- a/src/main/kotlin/mintpick/net/HttpCaller.kt
+++ b/src/main/kotlin/mintpick/net/HttpCaller.kt
@@ -4,15 +4,13 @@
 import org.apache.hc.core5.http.HttpException
 import org.slf4j.LoggerFactory
 import java.io.IOException
-import java.util.concurrent.LinkedBlockingQueue
 import java.util.concurrent.RejectedExecutionException
-import java.util.concurrent.ThreadPoolExecutor
-import java.util.concurrent.TimeUnit
-import java.util.concurrent.atomic.AtomicInteger
 
 /**
  * Makes outgoing calls on threads per kind of target, as many as it takes up to a bound. Connections are kept and reused;
- * a call is never sent twice.
+ * a call is never sent twice. Any thread may start calls.
+ *
+ * @param done takes each call's outcome, once; on one of the pool's threads, or on the caller's own if the call was rejected
  */
 class HttpCaller(
     private val done: (id: Long, outcome: Outcome) -> Unit,
@@ -24,92 +22,90 @@
     private val suspects = GrowingPool("suspect", SUSPECT_THREADS)
     private val peers = GrowingPool("peer", PEER_THREADS)
 
-    private val idle = IdleLines()
+    private val idle = IdleConnections()
+    private val failureLogLimit = LogLimit(FAILURE_LOG_INTERVAL_S)
 
+    /**
+     * Makes [call] and passes its outcome on with [id]; never waits for the network. If too many calls wait already, the
+     * outcome is [Outcome.NotSent], before this returns.
+     */
     fun start(
         id: Long,
         call: Call,
     ) {
-        val pool =
-            when (val target = call.target) {
-                is Target.State -> if (target.urgent) urgent else state
-                is Target.Cloud -> cloud
-                is Target.Worker -> if (target.suspect) suspects else workers
-                is Target.Peer -> peers
-            }
         try {
-            pool.execute { done(id, perform(call)) }
+            poolOf(call.target).execute { performAndReport(id, call) }
         } catch (e: RejectedExecutionException) {
-            LOG.debug("call dropped path={} reason={}", call.path, e.message)
+            LOG.warn("call dropped target={} path={} reason={}", call.target, call.path, e.message)
+            LOG.debug("call dropped path={}", call.path, e)
             done(id, Outcome.NotSent)
         }
     }
 
+    /** Ends the threads and closes idle connections. Calls that have not begun are dropped without an outcome. Any thread, once. */
+    internal fun stop() {
+        listOf(state, urgent, cloud, workers, suspects, peers).forEach { it.shutdownNow() }
+        idle.close()
+    }
+
+    private fun poolOf(target: Target): GrowingPool =
+        when (target) {
+            is Target.State -> if (target.urgent) urgent else state
+            is Target.Cloud -> cloud
+            is Target.Worker -> if (target.suspect) suspects else workers
+            is Target.Peer -> peers
+        }
+
+    private fun performAndReport(
+        id: Long,
+        call: Call,
+    ) {
+        try {
+            done(id, perform(call))
+        } catch (e: InterruptedException) {
+            // The pool was stopped: nobody waits for the outcome any more.
+            LOG.debug("outcome dropped path={}", call.path, e)
+            Thread.currentThread().interrupt()
+        }
+    }
+
     private fun perform(call: Call): Outcome {
-        val address = call.target.address
-        var line: PooledConnection? = null
-        var sent = false
+        var connection: PooledConnection? = null
         try {
-            val open = idle.take(address) ?: PooledConnection.open(address, minOf(call.timeoutUs / MILLI, CONNECT_TIMEOUT_MS).toInt())
-            line = open
-            sent = true
+            val open = idle.take(call.target.address) ?: connect(call)
+            connection = open
             val answer = open.exchange(call)
-            if (open.isKept) idle.give(address, open) else open.close()
+            if (open.isKept) idle.give(call.target.address, open) else open.close()
             return answer
         } catch (e: IOException) {
-            LOG.debug("call failed target={} path={} reason={}", call.target, call.path, e.toString())
+            logFailure(call, e)
         } catch (e: HttpException) {
-            LOG.debug("call failed target={} path={} reason={}", call.target, call.path, e.toString())
+            logFailure(call, e)
         } catch (e: RuntimeException) {
             // Whoever waits for the outcome must hear of it: what is reserved for a call is held until then.
             LOG.warn("call failed target={} path={}", call.target, call.path, e)
         }
-        line?.close()
-        return if (sent) Outcome.Unanswered else Outcome.NotSent
+        connection?.close()
+        // With a connection the request may have left, whatever failed after that.
+        return if (connection != null) Outcome.Unanswered else Outcome.NotSent
     }
 
-    /**
-     * Grows while all its threads are busy, and only then lets calls wait: a dead machine holds a thread for a second.
-     * The JDK's own pool lets calls wait first.
-     */
-    private class GrowingPool(
-        name: String,
-        threads: Int,
-        private val waiting: WaitingCalls = WaitingCalls(),
-    ) : ThreadPoolExecutor(minOf(CORE_THREADS, threads), threads, IDLE_S, TimeUnit.SECONDS, waiting, { task ->
-            Thread(null, task, name, STACK_BYTES).apply { isDaemon = true }
-        }) {
-        private val open = AtomicInteger()
-
-        init {
-            waiting.mayGrow = { open.get() > poolSize && poolSize < maximumPoolSize }
-            setRejectedExecutionHandler { task, _ ->
-                if (!waiting.append(task)) {
-                    open.decrementAndGet()
-                    throw RejectedExecutionException("$name queue full")
-                }
-            }
-        }
-
-        override fun execute(task: Runnable) {
-            open.incrementAndGet()
-            super.execute(task)
-        }
-
-        override fun afterExecute(
-            task: Runnable,
-            thrown: Throwable?,
-        ) {
-            open.decrementAndGet()
-        }
+    private fun connect(call: Call): PooledConnection {
+        val timeoutMs = minOf(call.timeoutUs / MILLI, CONNECT_TIMEOUT_MS)
+        return PooledConnection.open(call.target.address, timeoutMs.toInt())
     }
 
-    private class WaitingCalls : LinkedBlockingQueue<Runnable>(QUEUE) {
-        var mayGrow: () -> Boolean = { false }
-
-        override fun offer(task: Runnable): Boolean = if (mayGrow()) false else super.offer(task)
-
-        fun append(task: Runnable): Boolean = super.offer(task)
+    /**
+     * A dead machine or a network partition fails calls by the hundred: at most one line in a while is logged at the level that
+     * is on by default, every failure with its stack trace at debug level.
+     */
+    private fun logFailure(
+        call: Call,
+        cause: Exception,
+    ) {
+        LOG.debug("call failed target={} path={}", call.target, call.path, cause)
+        val suppressed = failureLogLimit.acquire() ?: return
+        LOG.warn("call failed target={} path={} reason={} suppressed={}", call.target, call.path, cause.toString(), suppressed)
     }
 
     companion object {
@@ -118,15 +114,12 @@
         /** Eight transactions, half of them without an answer, beside a watch, a lease's renewal and a catch-up. */
         private const val STATE_THREADS = 12
         private const val CLOUD_THREADS = 3
-        private const val CORE_THREADS = 2
         private const val WORKER_THREADS = 48
 
         /** With an eighth of a fleet dead at once, each call to one of them takes its whole time-out. */
         private const val SUSPECT_THREADS = 32
         private const val PEER_THREADS = 2
-        private const val QUEUE = 512
-        private const val IDLE_S = 20L
-        private const val STACK_BYTES = 256L * 1024
         private const val CONNECT_TIMEOUT_MS = 1000L
+        private const val FAILURE_LOG_INTERVAL_S = 10L
     }
 }
--- /dev/null
+++ b/src/main/kotlin/mintpick/net/JdkServer.kt
@@ -0,0 +1,157 @@
+package mintpick.net
+
+import com.sun.net.httpserver.HttpExchange
+import com.sun.net.httpserver.HttpServer
+import mintpick.config.Address
+import org.http4k.core.Body
+import org.http4k.core.MemoryBody
+import org.http4k.core.Method
+import org.http4k.core.Request
+import org.http4k.core.Response
+import org.http4k.core.Status
+import org.http4k.core.Uri
+import org.slf4j.LoggerFactory
+import java.io.IOException
+import java.net.InetSocketAddress
+import java.nio.ByteBuffer
+import java.util.concurrent.ExecutorService
+import java.util.concurrent.LinkedBlockingQueue
+import java.util.concurrent.RejectedExecutionException
+import java.util.concurrent.ThreadPoolExecutor
+import java.util.concurrent.TimeUnit
+
+/**
+ * http4k's messages on the JDK's server, bound to one address. A request that waits for its answer holds its connection
+ * and no thread: hundreds of workers that turn to one controller at once and wait for a write that adopts them
+ * would otherwise take every thread from users and health checks.
+ *
+ * Started and stopped by one thread; its threads are daemons.
+ *
+ * @param threads how many requests are read at once
+ */
+class JdkServer(
+    private val address: Address,
+    threads: Int,
+) {
+    private val readers = pool("http", threads)
+    private val writers = pool("reply", maxOf(1, threads / READERS_PER_WRITER))
+    private val failureLogLimit = LogLimit(FAILURE_LOG_INTERVAL_S)
+    private var server: HttpServer? = null
+
+    /**
+     * Binds the address and serves requests with [handler]; to be called once.
+     *
+     * @throws IOException if the address can't be bound
+     */
+    fun start(handler: LaterHandler) {
+        val bound = HttpServer.create(InetSocketAddress(address.host, address.port), BACKLOG)
+        server = bound
+        bound.executor = readers
+        bound.createContext("/") { exchange -> handle(exchange, handler) }
+        bound.start()
+    }
+
+    /** Closes the address and all connections at once, also those of requests without an answer. */
+    internal fun stop() {
+        server?.stop(0)
+        readers.shutdownNow()
+        writers.shutdownNow()
+    }
+
+    private fun handle(
+        exchange: HttpExchange,
+        handler: LaterHandler,
+    ) {
+        val method = Method.entries.firstOrNull { it.name == exchange.requestMethod }
+        if (method == null) {
+            respond(exchange, Response(Status.NOT_IMPLEMENTED))
+            return
+        }
+        val body = exchange.requestBody.readNBytes(MAX_REQUEST_BYTES)
+        val request = Request(method, Uri.of(exchange.requestURI.toString())).body(MemoryBody(ByteBuffer.wrap(body)) as Body)
+        handler(request) { response -> queueResponse(exchange, response) }
+    }
+
+    private fun queueResponse(
+        exchange: HttpExchange,
+        response: Response,
+    ) {
+        try {
+            writers.execute { respond(exchange, response) }
+        } catch (e: RejectedExecutionException) {
+            // Only after the server was stopped: the queue has no bound.
+            LOG.debug("answer not sent path={}", exchange.requestURI, e)
+            exchange.close()
+        }
+    }
+
+    private fun respond(
+        exchange: HttpExchange,
+        response: Response,
+    ) {
+        try {
+            response.headers.forEach { (name, value) -> exchange.responseHeaders.add(name, value) }
+            val payload = response.body.payload
+            val length = payload.remaining()
+            exchange.sendResponseHeaders(response.status.code, if (length > 0) length.toLong() else NO_BODY)
+            if (length > 0) exchange.responseBody.use { it.write(payload.array(), payload.arrayOffset(), length) }
+        } catch (e: IOException) {
+            logFailure(exchange, e)
+        } finally {
+            exchange.close()
+        }
+    }
+
+    /** Clients that give up are common when the service is slow: few lines at the default level, all with stack trace at debug level. */
+    private fun logFailure(
+        exchange: HttpExchange,
+        cause: IOException,
+    ) {
+        LOG.debug("answer not sent path={}", exchange.requestURI, cause)
+        val suppressed = failureLogLimit.acquire() ?: return
+        LOG.warn("answer not sent path={} reason={} suppressed={}", exchange.requestURI, cause.toString(), suppressed)
+    }
+
+    companion object {
+        private val LOG = LoggerFactory.getLogger(JdkServer::class.java)
+        private const val BACKLOG = 512
+        private const val IDLE_THREAD_S = 30L
+        private const val STACK_BYTES = 256L * 1024
+        private const val READERS_PER_WRITER = 4
+        private const val FAILURE_LOG_INTERVAL_S = 10L
+
+        /** What the JDK's server takes for a response without a body. */
+        private const val NO_BODY = -1L
+
+        /** Above what any interface takes, other controllers' hints included; what is longer is cut off and so malformed. */
+        private const val MAX_REQUEST_BYTES = 512 * 1024
+
+        private const val IDLE_CONNECTION_S = 120
+
+        /** Half a request must not hold a reader for as long as a network partition lasts. */
+        private const val MAX_REQUEST_S = 5
+
+        private fun pool(
+            name: String,
+            threads: Int,
+        ): ExecutorService {
+            val pool =
+                ThreadPoolExecutor(threads, threads, IDLE_THREAD_S, TimeUnit.SECONDS, LinkedBlockingQueue()) { task ->
+                    Thread(null, task, name, STACK_BYTES).apply { isDaemon = true }
+                }
+            pool.allowCoreThreadTimeOut(true)
+            return pool
+        }
+
+        /**
+         * Sets the JDK server's properties for all servers of the process, among them how many idle connections are kept; to be
+         * called before the first server starts: the JDK reads these once.
+         */
+        fun prepare(maxConnections: Int) {
+            System.setProperty("sun.net.httpserver.nodelay", "true")
+            System.setProperty("sun.net.httpserver.maxIdleConnections", maxConnections.toString())
+            System.setProperty("sun.net.httpserver.idleInterval", IDLE_CONNECTION_S.toString())
+            System.setProperty("sun.net.httpserver.maxReqTime", MAX_REQUEST_S.toString())
+        }
+    }
+}
--- a/src/main/kotlin/mintpick/store/CompactNames.kt
+++ b/src/main/kotlin/mintpick/store/CompactNames.kt
@@ -5,70 +5,77 @@
  * between those numbers. A fleet's machines are named in this way, so that most names take one byte.
  */
 object CompactNames {
+    /** Names of the same [prefix] that end in a number of [digits] digits; 0 digits for a single name without a number. */
     private data class Series(
         val prefix: String,
         val digits: Int,
     )
 
-    private const val MOST_DIGITS = 9
+    /** So many digits fit into an [Int], whatever they are. */
+    private const val MAX_DIGITS = 9
 
     /** [names] in the order in which they are written and read back. */
     fun ordered(names: Collection<String>): List<String> =
         names.sortedWith(compareBy<String>({ seriesOf(it).prefix }, { it.length }, { it }))
 
-    /** Writes [ordered], which must be in the order of [ordered]. */
+    /** Writes [ordered], which must be in the order of the function of that name and without duplicates. */
     internal fun write(
         ordered: List<String>,
-        to: VarintWriter,
+        writer: VarintWriter,
     ) {
-        val series = ordered.groupByTo(LinkedHashMap(), ::seriesOf)
-        to.number(series.size)
-        for ((kind, members) in series) {
-            to.text(kind.prefix)
-            to.number(kind.digits)
-            to.number(members.size)
-            if (kind.digits > 0) writeSteps(members.map { it.takeLast(kind.digits).toInt() }, to)
+        val namesBySeries = ordered.groupByTo(LinkedHashMap(), ::seriesOf)
+        writer.number(namesBySeries.size)
+        for ((series, names) in namesBySeries) {
+            writer.text(series.prefix)
+            writer.number(series.digits)
+            writer.number(names.size)
+            if (series.digits > 0) writeSteps(names.map { it.takeLast(series.digits).toInt() }, writer)
         }
     }
 
     private fun writeSteps(
         numbers: List<Int>,
-        to: VarintWriter,
+        writer: VarintWriter,
     ) {
-        var last = 0
+        var previous = 0
         for (number in numbers) {
-            to.number(number - last)
-            last = number
+            writer.number(number - previous)
+            previous = number
         }
     }
 
-    internal fun read(from: VarintReader): List<String> {
+    /**
+     * The names that [write] wrote, in their order. Throws an [UnreadableRecordException] if the next bytes are no names, and
+     * an [ArithmeticException] if the steps lead beyond the largest [Int].
+     */
+    internal fun read(reader: VarintReader): List<String> {
         val names = ArrayList<String>()
-        repeat(from.count()) { readSeries(from, names) }
+        repeat(reader.count()) { readSeries(reader, names) }
         return names
     }
 
     private fun readSeries(
-        from: VarintReader,
+        reader: VarintReader,
         names: MutableList<String>,
     ) {
-        val prefix = from.text()
-        val digits = from.number()
-        require(digits <= MOST_DIGITS) { "a number of $digits digits" }
+        val prefix = reader.text()
+        val digits = reader.number()
+        requireConsistent(digits <= MAX_DIGITS) { "a number of $digits digits" }
         if (digits == 0) {
-            require(from.number() == 1) { "a name stands twice" }
+            requireConsistent(reader.number() == 1) { "a name stands twice" }
             names += prefix
             return
         }
-        var last = 0
-        repeat(from.count()) {
-            last = Math.addExact(last, from.number())
-            names += prefix + last.toString().padStart(digits, '0')
+        var number = 0
+        repeat(reader.count()) {
+            number = Math.addExact(number, reader.number())
+            names += prefix + number.toString().padStart(digits, '0')
         }
     }
 
     private fun seriesOf(name: String): Series {
-        val digits = minOf(MOST_DIGITS, name.reversed().takeWhile { it in '0'..'9' }.length)
+        val digitsAtEnd = name.reversed().takeWhile { it in '0'..'9' }.length
+        val digits = minOf(MAX_DIGITS, digitsAtEnd)
         return Series(name.dropLast(digits), digits)
     }
 }
--- a/src/main/kotlin/mintpick/store/RecordFormat.kt
+++ b/src/main/kotlin/mintpick/store/RecordFormat.kt
@@ -11,11 +11,12 @@
     /** JSON with names spelled out: read by every version. */
     VERBOSE(1),
 
-    /** Tasks and machines as short texts, which fit into much smaller values. Jobs may wait for others. */
+    /** Tasks and machines as short texts, which fit into much smaller values. Jobs may have predecessors. */
     COMPACT(2),
     ;
 
     companion object {
+        /** What this version reads and announces. */
         val NEWEST = entries.last()
 
         /** The format that may be written once every controller has announced at least [level]. */
--- a/src/main/kotlin/mintpick/store/SpecPieces.kt
+++ b/src/main/kotlin/mintpick/store/SpecPieces.kt
@@ -1,52 +1,57 @@
 package mintpick.store
 
+import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonPrimitive
 import mintpick.wire.JobSpec
 import mintpick.wire.WireJson
 import java.io.ByteArrayInputStream
 import java.io.ByteArrayOutputStream
+import java.io.IOException
 import java.util.Base64
 import java.util.zip.DeflaterOutputStream
 import java.util.zip.InflaterInputStream
 
 /**
- * A specification that leaves no room for its job's tasks in one value, such as one that names hundreds of jobs to wait
- * for, is kept in records of its own: compressed, and cut into texts that each fit into a value.
+ * A specification that leaves no room for its job's tasks in one value, such as one that names hundreds of predecessors,
+ * is kept in records of its own (`Keys.spec`): compressed, and cut into texts that each fit into a value.
  */
 object SpecPieces {
-    /** Around a piece. */
-    private const val QUOTES = 2
+    /** Characters around a piece in JSON. */
+    private const val QUOTE_CHARACTERS = 2
 
     /** Far more than a request's body, so that no record makes a reader fill its memory. */
-    private const val MOST_BYTES = 1 shl 20
+    private const val MAX_SPEC_BYTES = 1 shl 20
 
-    /** The texts of all pieces, in order. */
+    /** The texts of all pieces of [spec], in order, each of at most [valueBytes] bytes as JSON. */
     fun split(
         spec: JobSpec,
         valueBytes: Double,
     ): List<String> {
-        val packed = ByteArrayOutputStream()
-        DeflaterOutputStream(packed).use { it.write(text(spec).encodeToByteArray()) }
+        val compressed = ByteArrayOutputStream()
+        DeflaterOutputStream(compressed).use { it.write(text(spec).encodeToByteArray()) }
         return Base64
             .getEncoder()
             .withoutPadding()
-            .encodeToString(packed.toByteArray())
-            .chunked(valueBytes.toInt() - QUOTES)
+            .encodeToString(compressed.toByteArray())
+            .chunked(valueBytes.toInt() - QUOTE_CHARACTERS)
     }
 
-    /** Reads what [split] wrote; an [IllegalArgumentException] if it is no specification. */
-    fun join(pieces: Collection<String>): JobSpec {
-        val packed = Base64.getDecoder().decode(pieces.joinToString(""))
-        val text =
-            try {
-                InflaterInputStream(ByteArrayInputStream(packed)).use { it.readNBytes(MOST_BYTES) }.decodeToString()
-            } catch (e: java.io.IOException) {
-                throw IllegalArgumentException("a specification that can't be unpacked: ${e.message}")
-            }
-        return WireJson.decodeFromString(JobSpec.serializer(), text)
-    }
+    /** The specification that [split] made [pieces] of, given in order; a [MalformedRecordException] if they are none. */
+    fun join(pieces: Collection<String>): JobSpec =
+        decodingRecord {
+            val compressed = Base64.getDecoder().decode(pieces.joinToString(""))
+            WireJson.decodeFromString(JobSpec.serializer(), inflate(compressed))
+        }
+
+    private fun inflate(compressed: ByteArray): String =
+        try {
+            InflaterInputStream(ByteArrayInputStream(compressed)).use { it.readNBytes(MAX_SPEC_BYTES) }.decodeToString()
+        } catch (e: IOException) {
+            throw MalformedRecordException("a specification that can't be unpacked: ${e.message}", e)
+        }
 
-    fun json(piece: String) = JsonPrimitive(piece)
+    /** One piece as the value that is stored. */
+    fun json(piece: String): JsonElement = JsonPrimitive(piece)
 
     private fun text(spec: JobSpec): String = WireJson.encodeToString(JobSpec.serializer(), spec)
 }
--- a/src/main/kotlin/mintpick/users/Routes.kt
+++ b/src/main/kotlin/mintpick/users/Routes.kt
@@ -1,9 +1,7 @@
 package mintpick.users
 
-import kotlinx.serialization.SerializationException
 import mintpick.core.JobId
 import mintpick.core.Micros
-import mintpick.core.SECOND
 import mintpick.engine.runtime.Event
 import mintpick.engine.runtime.ReplyTo
 import mintpick.net.Answer
@@ -20,92 +18,87 @@
 import mintpick.wire.decodeHint
 import org.http4k.core.Method
 import org.http4k.core.Request
-import java.util.concurrent.ConcurrentLinkedQueue
-import java.util.concurrent.atomic.AtomicInteger
-import java.util.concurrent.atomic.AtomicReference
-
-/** Brings requests to the owner's queue, and its answers back; one that does not come in time is given up. */
+import org.slf4j.LoggerFactory
+
+/**
+ * Brings requests to the event loop's queue, and its answers back; one that is not answered in time is given up. For any thread.
+ *
+ * @param offer puts an event into the event loop's queue without waiting; false if it is full
+ * @param isUp asked by the load balancer every second: must not wait behind what hundreds of workers bring
+ * @param maxWaiting how many users' requests may wait for their answer at once
+ * @param steadyUs the steady clock, in microseconds
+ */
 class Routes(
-    private val offer: (Event) -> Boolean,
-    /** Asked by the load balancer every second: not to wait behind what hundreds of workers bring. */
+    offer: (Event) -> Boolean,
     private val isUp: () -> Boolean,
-    private val maxWaiting: Int,
-    private val steadyUs: () -> Micros,
+    maxWaiting: Int,
+    steadyUs: () -> Micros,
 ) {
-    /** One request that waits for the owner. Whoever answers first, owner or [giveUpLate], answers alone. */
-    private inner class Waiting(
-        val sinceUs: Micros,
-        private val counted: Boolean,
-        respond: Respond,
-    ) : ReplyTo {
-        // Taken out with the answer: what is answered must not be held until its turn to be late.
-        private val open = AtomicReference<Respond?>(respond)
-
-        override fun answer(answer: Answer) {
-            val respond = open.getAndSet(null) ?: return
-            if (counted) users.decrementAndGet()
-            respond(answer.toResponse())
-        }
-    }
-
-    private val users = AtomicInteger()
-    private val waiting = ConcurrentLinkedQueue<Waiting>()
+    private val pending = PendingRequests(offer, maxWaiting, steadyUs)
 
     /** What users, workers and health checks see. */
-    val api: LaterHandler = { request, respond -> route(request, respond) }
-
-    /** What other controllers and people on call see. */
-    val mesh: LaterHandler = { request, respond -> meshRoute(request, respond) }
-
-    /** Answers requests that have waited too long; to be called now and then. */
-    fun giveUpLate() {
-        while (true) {
-            val oldest = waiting.peek() ?: return
-            if (steadyUs() - oldest.sinceUs < PATIENCE) return
-            waiting.poll()
-            oldest.answer(errorAnswer(UNAVAILABLE, "no answer in time", RETRY_S))
-        }
-    }
+    val api: LaterHandler = { request, respond -> routeApi(request, respond) }
+
+    /** What other controllers and engineers on call see. */
+    val mesh: LaterHandler = { request, respond -> routeMesh(request, respond) }
 
-    private fun route(
+    /** Answers requests that have waited too long; to be called several times a second. */
+    fun giveUpLate() = pending.expireOverdue()
+
+    private fun routeApi(
         request: Request,
         respond: Respond,
     ) {
         val path = request.uri.path
         when {
-            path == Paths.HEALTH -> only(request, Method.GET, respond) { respond((if (isUp()) UP else NOT_READY).toResponse()) }
-            path == Paths.REPORT -> only(request, Method.POST, respond) { report(request, respond) }
-            path == Paths.JOBS -> only(request, Method.POST, respond) { submit(request, respond) }
-            path.startsWith(JOB_PREFIX) -> job(request, path.substring(JOB_PREFIX.length), respond)
+            path == Paths.HEALTH -> ifMethod(Method.GET, request, respond) { health(respond) }
+            path == Paths.REPORT -> ifMethod(Method.POST, request, respond) { report(request, respond) }
+            path == Paths.JOBS -> ifMethod(Method.POST, request, respond) { submit(request, respond) }
+            path.startsWith(JOB_PREFIX) -> routeJob(request, path.substring(JOB_PREFIX.length), respond)
             else -> respond(NO_PATH.toResponse())
         }
     }
 
-    private fun job(
+    /** [rest] is the path behind the prefix of jobs: an id, with or without an action. */
+    private fun routeJob(
         request: Request,
         rest: String,
         respond: Respond,
     ) {
         val id = rest.substringBefore('/')
         val action = rest.substringAfter('/', "")
+        val isMalformed = rest.count { it == '/' } > 1 || (action.isEmpty() && '/' in rest)
         when {
-            rest.count { it == '/' } > 1 || (action.isEmpty() && '/' in rest) -> respond(NO_PATH.toResponse())
-            action.isEmpty() -> only(request, Method.GET, respond) { known(id, respond) { job -> shed(respond) { Event.Poll(job, it) } } }
-            action == "cancel" ->
-                only(
-                    request,
-                    Method.POST,
-                    respond,
-                ) { known(id, respond) { job -> shed(respond) { Event.Cancel(job, it) } } }
+            isMalformed -> respond(NO_PATH.toResponse())
+            action.isEmpty() -> ifMethod(Method.GET, request, respond) { onJob(id, respond, Event::Poll) }
+            action == "cancel" -> ifMethod(Method.POST, request, respond) { onJob(id, respond, Event::Cancel) }
             else -> respond(NO_PATH.toResponse())
         }
     }
 
-    private fun known(
+    private fun ifMethod(
+        method: Method,
+        request: Request,
+        respond: Respond,
+        handle: () -> Unit,
+    ) {
+        if (request.method == method) handle() else respond(METHOD_NOT_ALLOWED.toResponse())
+    }
+
+    private fun health(respond: Respond) {
+        val answer = if (isUp()) UP else NOT_READY
+        respond(answer.toResponse())
+    }
+
+    /** What can't be the id of a job is refused here: the event loop need not know of it. */
+    private fun onJob(
         id: String,
         respond: Respond,
-        then: (JobId) -> Unit,
-    ) = if (Submission.isJobId(id)) then(JobId(id)) else respond(errorAnswer(NOT_FOUND, "no such job").toResponse())
+        event: (JobId, ReplyTo) -> Event,
+    ) {
+        if (!Submission.isJobId(id)) return respond(NO_JOB.toResponse())
+        pending.enqueueUserRequest(respond) { reply -> event(JobId(id), reply) }
+    }
 
     private fun submit(
         request: Request,
@@ -116,19 +109,19 @@
             try {
                 Submission.parse(body.decodeToString())
             } catch (e: MalformedException) {
-                return malformed(e, respond)
+                return refuseMalformed(e, respond)
             }
-        shed(respond) { Event.Submit(spec, it) }
+        pending.enqueueUserRequest(respond) { reply -> Event.Submit(spec, reply) }
     }
 
-    /** A job that was accepted stays so, whatever its submission looks like when it is repeated. */
-    private fun malformed(
+    /** A job that was accepted stays so, whatever its submission looks like when it is repeated: the event loop decides. */
+    private fun refuseMalformed(
         error: MalformedException,
         respond: Respond,
     ) {
-        val reason = error.message ?: "malformed"
+        val reason = error.message ?: MALFORMED
         val id = error.id ?: return respond(errorAnswer(BAD_REQUEST, reason).toResponse())
-        shed(respond) { Event.Malformed(JobId(id), reason, it) }
+        pending.enqueueUserRequest(respond) { reply -> Event.Malformed(JobId(id), reason, reply) }
     }
 
     private fun report(
@@ -139,76 +132,52 @@
         val report =
             try {
                 WireJson.decodeFromString(MachineReport.serializer(), body.decodeToString())
-            } catch (e: SerializationException) {
-                return respond(errorAnswer(BAD_REQUEST, e.message ?: "malformed").toResponse())
             } catch (e: IllegalArgumentException) {
-                return respond(errorAnswer(BAD_REQUEST, e.message ?: "malformed").toResponse())
+                // The decoder's own exception is one of these, as is a value that a record refuses.
+                LOG.warn("heartbeat malformed bytes={}", body.size, e)
+                return respond(errorAnswer(BAD_REQUEST, e.message ?: MALFORMED).toResponse())
             }
-        ask(respond) { Event.Report(report, it) }
+        pending.enqueue(respond) { reply -> Event.Report(report, reply) }
     }
 
-    private fun meshRoute(
+    private fun routeMesh(
         request: Request,
         respond: Respond,
     ) {
         when (request.uri.path) {
-            "/hint" -> only(request, Method.POST, respond) { hint(request, respond) }
-            "/status" -> only(request, Method.GET, respond) { ask(respond, event = Event::Inspect) }
+            HINT_PATH -> ifMethod(Method.POST, request, respond) { hint(request, respond) }
+            STATUS_PATH -> ifMethod(Method.GET, request, respond) { pending.enqueue(respond, event = Event::Inspect) }
             else -> respond(NO_PATH.toResponse())
         }
     }
 
-    /** Its size goes with the fleet, so the bound of the platform's own interfaces does not apply. */
+    /** Its size grows with the fleet, so the bound of the platform's own interfaces does not apply. */
     private fun hint(
         request: Request,
         respond: Respond,
     ) {
-        val hint = decodeHint(request.body.payload.array()) ?: return respond(errorAnswer(BAD_REQUEST, "not a hint").toResponse())
-        ask(respond) { Event.Hint(hint, it) }
-    }
-
-    private fun only(
-        request: Request,
-        method: Method,
-        respond: Respond,
-        then: () -> Unit,
-    ) = if (request.method == method) then() else respond(errorAnswer(NOT_ALLOWED, "method not allowed").toResponse())
-
-    /** Users' requests are refused early, so that workers and health checks always find room in the queue. */
-    private fun shed(
-        respond: Respond,
-        event: (ReplyTo) -> Event,
-    ) {
-        if (users.incrementAndGet() <= maxWaiting) return ask(respond, counted = true, event)
-        users.decrementAndGet()
-        respond(TOO_MANY.toResponse())
-    }
-
-    private fun ask(
-        respond: Respond,
-        counted: Boolean = false,
-        event: (ReplyTo) -> Event,
-    ) {
-        val reply = Waiting(steadyUs(), counted, respond)
-        waiting += reply
-        if (!offer(event(reply))) reply.answer(TOO_MANY)
+        val hint = decodeHint(request.body.payload.array()) ?: return respond(NOT_A_HINT.toResponse())
+        pending.enqueue(respond) { reply -> Event.Hint(hint, reply) }
     }
 
-    companion object {
-        private const val JOB_PREFIX = Paths.JOBS + "/"
-        private const val OK = 200
-        private const val BAD_REQUEST = 400
-        private const val NOT_FOUND = 404
-        private const val NOT_ALLOWED = 405
-        private const val UNAVAILABLE = 503
-        private const val RETRY_S = 1
-
-        /** As long as a worker waits. */
-        private const val PATIENCE: Micros = 4 * SECOND
-        private val UP = Answer.json(OK, "{}")
-        private val NOT_READY = errorAnswer(UNAVAILABLE, "not ready", RETRY_S)
-        private val NO_PATH = errorAnswer(NOT_FOUND, "no such path")
-        private val TOO_LARGE = errorAnswer(BAD_REQUEST, "body: too large")
-        private val TOO_MANY = errorAnswer(UNAVAILABLE, "too many requests", RETRY_S)
+    private companion object {
+        val LOG = LoggerFactory.getLogger(Routes::class.java)
+        const val JOB_PREFIX = Paths.JOBS + "/"
+        const val HINT_PATH = "/hint"
+        const val STATUS_PATH = "/status"
+        const val MALFORMED = "malformed"
+        const val OK = 200
+        const val BAD_REQUEST = 400
+        const val NOT_FOUND = 404
+        const val NOT_ALLOWED = 405
+        const val UNAVAILABLE = 503
+        const val RETRY_AFTER_S = 1
+        val UP = Answer.json(OK, "{}")
+        val NOT_READY = errorAnswer(UNAVAILABLE, "not ready", RETRY_AFTER_S)
+        val NO_PATH = errorAnswer(NOT_FOUND, "no such path")
+        val NO_JOB = errorAnswer(NOT_FOUND, "no such job")
+        val METHOD_NOT_ALLOWED = errorAnswer(NOT_ALLOWED, "method not allowed")
+        val TOO_LARGE = errorAnswer(BAD_REQUEST, "body: too large")
+        val NOT_A_HINT = errorAnswer(BAD_REQUEST, "not a hint")
     }
 }
--- a/src/main/kotlin/mintpick/wire/CloudApi.kt
+++ b/src/main/kotlin/mintpick/wire/CloudApi.kt
@@ -3,6 +3,12 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
+/**
+ * One of `breeds` in the cloud's answer to `GET /machine_types`.
+ *
+ * [memoryGb] and [cacheGb] are in GB, [fetchGbPerS] is the rate at which images are fetched, [price] and [spotPrice] are per
+ * hour, and [bootS] is the nominal boot time in seconds.
+ */
 @Serializable
 data class MachineType(
     val name: String,
@@ -17,11 +23,13 @@
     @SerialName("plots") val zones: List<String> = emptyList(),
 )
 
+/** The cloud's answer to `GET /machine_types`. */
 @Serializable
 data class MachineTypes(
     @SerialName("breeds") val types: List<MachineType>,
 )
 
+/** Body of `POST /rentals`. [request] (`hire`) names the request and makes it idempotent: a name must never be used again. */
 @Serializable
 data class RentalRequest(
     @SerialName("hire") val request: String,
@@ -31,11 +39,13 @@
     @SerialName("number") val count: Int,
 )
 
+/** `pickers`: the cloud's answer to `POST /rentals`, and the body of `POST /rentals/release`. */
 @Serializable
 data class MachineNames(
     @SerialName("pickers") val machines: List<String>,
 )
 
+/** `stage` of a machine in the cloud's list. */
 @Serializable
 enum class RentalStage {
     @SerialName("booting")
@@ -48,6 +58,7 @@
     FAILED,
 }
 
+/** One of `pickers` in the cloud's answer to `GET /rentals`; [ageS] is the time in seconds since the rental request. */
 @Serializable
 data class ListedMachine(
     val id: String,
@@ -59,6 +70,7 @@
     @SerialName("age_s") val ageS: Double = 0.0,
 )
 
+/** The cloud's answer to `GET /rentals`: machines ordered by name; with [more] (`has_next`) others follow after the last. */
 @Serializable
 data class MachineListPage(
     @SerialName("pickers") val machines: List<ListedMachine>,
--- a/src/main/kotlin/mintpick/wire/MeshApi.kt
+++ b/src/main/kotlin/mintpick/wire/MeshApi.kt
@@ -7,42 +7,75 @@
 import kotlinx.serialization.protobuf.ProtoNumber
 import kotlinx.serialization.protobuf.ProtoPacked
 
-/** What one controller tells another. Hints only: nothing that must be right depends on them. */
+/** Field numbers of [PeerHint]. A number is never used again for anything else. */
+private object PeerHintField {
+    const val NODE = 1
+    const val STATE_AGE = 2
+    const val MACHINES = 3
+    const val REVISION = 4
+    const val LISTS_MACHINES = 5
+    const val LACKS_ROOM = 6
+    const val IMAGE_NAMES = 7
+    const val CANCELLED = 8
+    const val CANCELLED_IS_COMPLETE = 9
+    const val FAULTY_JOBS = 10
+}
+
+/** Field numbers of [MachineHint]. A number is never used again for anything else; 3 has been in use before. */
+private object MachineHintField {
+    const val MACHINE = 1
+    const val AGE = 2
+    const val IMAGES = 4
+}
+
+/**
+ * Body of `POST /hint` between controllers and of its answer, in Protobuf. Hints only: no invariant depends on them.
+ *
+ * A field keeps its number and its meaning for good, since controllers of different versions exchange hints.
+ */
 @Serializable
 data class PeerHint(
-    @ProtoNumber(1) val node: String,
+    @ProtoNumber(PeerHintField.NODE) val node: String,
     /** Microseconds since the state service last served the sender; negative: never. */
-    @ProtoNumber(2) val stateAgeUs: Long = -1,
-    @ProtoNumber(3) val machines: List<MachineHint> = emptyList(),
-    @ProtoNumber(4) val revision: Long = 0,
-    /** Whether [machines] is the whole list; between lists only the sender's standing is told. */
-    @ProtoNumber(5) val listsMachines: Boolean = false,
-    /** Whether jobs wait that found no room on the sender's machines. */
-    @ProtoNumber(6) val lacksRoom: Boolean = false,
-    /** Names of images, each once; [MachineHint.images] tells their places. */
-    @ProtoNumber(7) val imageNames: List<String> = emptyList(),
+    @ProtoNumber(PeerHintField.STATE_AGE) val stateAgeUs: Long = -1,
+    @ProtoNumber(PeerHintField.MACHINES) val machines: List<MachineHint> = emptyList(),
+    @ProtoNumber(PeerHintField.REVISION) val revision: Long = 0,
+    /** Whether [machines] is the whole list; hints without it carry only the sender's own state. */
+    @ProtoNumber(PeerHintField.LISTS_MACHINES) val listsMachines: Boolean = false,
+    /** Whether jobs wait that don't fit on the sender's machines. */
+    @ProtoNumber(PeerHintField.LACKS_ROOM) val lacksRoom: Boolean = false,
+    /** Names of images, each once; [MachineHint.images] holds indexes of them. */
+    @ProtoNumber(PeerHintField.IMAGE_NAMES) val imageNames: List<String> = emptyList(),
     /** Cancelled jobs whose tasks are not all known to be gone. */
-    @ProtoNumber(8) val cancelled: List<String> = emptyList(),
-    /** Whether [cancelled] holds all that the sender ever confirmed, in earlier lives too: it has loaded the records. */
-    @ProtoNumber(9) val cancelledIsComplete: Boolean = false,
+    @ProtoNumber(PeerHintField.CANCELLED) val cancelled: List<String> = emptyList(),
+    /** Whether [cancelled] holds all that the sender ever confirmed, also before it was restarted: it has loaded the records. */
+    @ProtoNumber(PeerHintField.CANCELLED_IS_COMPLETE) val cancelledIsComplete: Boolean = false,
     /** Jobs that fail wherever the sender runs them. */
-    @ProtoNumber(10) val faultyJobs: List<String> = emptyList(),
+    @ProtoNumber(PeerHintField.FAULTY_JOBS) val faultyJobs: List<String> = emptyList(),
 ) {
+    /** Names of the images that [machine] holds; an index that is out of range is left out. */
     fun imagesOn(machine: MachineHint): Set<String> = machine.images.mapNotNullTo(HashSet()) { imageNames.getOrNull(it) }
 }
 
+/** A machine of the sender in a [PeerHint]. */
 @Serializable
 data class MachineHint(
-    @ProtoNumber(1) val machine: String,
+    @ProtoNumber(MachineHintField.MACHINE) val machine: String,
     /** Microseconds since its last report. */
-    @ProtoNumber(2) val ageUs: Long,
-    /** Places in [PeerHint.imageNames]: spelled out for each machine, images were most of a hint's size. */
-    @ProtoNumber(4) @ProtoPacked val images: List<Int> = emptyList(),
+    @ProtoNumber(MachineHintField.AGE) val ageUs: Long,
+    /** Indexes into [PeerHint.imageNames]: spelled out for each machine, images were most of a hint's size. */
+    @ProtoNumber(MachineHintField.IMAGES) @ProtoPacked val images: List<Int> = emptyList(),
 )
 
+/** The Protobuf dialect of hints: fields that have their defaults are left out. */
 val MeshProtobuf: ProtoBuf = ProtoBuf { encodeDefaults = false }
 
-/** The hint in [bytes], or null: broken input makes the decoder fail in more ways than its own exceptions. */
+/**
+ * The hint in [bytes], or null if they hold none.
+ *
+ * Broken input makes the decoder fail in more ways than its own exceptions, so every one of its failures means the same.
+ * The bytes are another controller's, so the failure says nothing about this one; the caller answers or ignores it.
+ */
 fun decodeHint(bytes: ByteArray): PeerHint? =
     try {
         MeshProtobuf.decodeFromByteArray(PeerHint.serializer(), bytes)
@@ -50,7 +83,11 @@
         null
     }
 
-/** What `/status` on the mesh address says: for people on call, not for programs to depend on. */
+/**
+ * Answer to `GET /status` on the mesh address, in JSON: for people on call, not for programs to depend on.
+ *
+ * Counts are of this controller at this moment unless said otherwise.
+ */
 @Serializable
 data class NodeStatus(
     val node: String,
@@ -67,7 +104,7 @@
     val revision: Long,
     /** Share-seconds of each team's dominant resource within the window. */
     val use: Map<String, Double>,
-    /** State service latency in milliseconds by percentile, over all answered requests. */
+    /** Latency of the state service in milliseconds by percentile, over all answered requests. */
     val stateLatencyMs: Map<String, Double>,
     /** Jobs that wait for others to be done. */
     val waitingForPredecessors: Int,
@@ -82,7 +119,7 @@
     val tooLargeTransactions: Long,
 )
 
-/** Within what the controllers write: for the whole cluster, rates in one second. */
+/** Limits of the state service that the controllers keep to, in [NodeStatus]: rates per second for the whole cluster. */
 @Serializable
 data class StatusLimits(
     val changesPerSecond: Double,
--- a/src/main/kotlin/mintpick/wire/Records.kt
+++ b/src/main/kotlin/mintpick/wire/Records.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** How the service's own records look in the state service. */
+/** `stage` in a [JobRecord] in the state service; what users are answered is a [JobStage]. */
 @Serializable
 enum class StoredStage {
     @SerialName("open")
@@ -17,7 +17,7 @@
 }
 
 /**
- * Tasks of one chunk of a job. [placed] maps a machine to pairs (task, attempt); [done] holds inclusive
+ * Value of a chunk's key in the state service: the tasks of one chunk of a job. [placed] maps a machine to pairs (task, attempt); [done] holds inclusive
  * ranges; [attempts] holds pairs (task, last attempt) of waiting tasks that have been placed before.
  */
 @Serializable
@@ -30,7 +30,7 @@
 )
 
 /**
- * A job's main record. A final one has neither [spec] nor [chunk]. A large specification is kept in so many records of its
+ * Value of a job's key in the state service, its main record. A final one has neither [spec] nor [chunk]. A large specification is kept in so many records of its
  * own as [specPieces] says.
  */
 @Serializable
@@ -42,11 +42,12 @@
     val chunk: ChunkRecord? = null,
     @SerialName("sp") val specPieces: Int? = null,
 ) {
+    /** Whether the job is over and none of its tasks is left. */
     val isFinal: Boolean get() = spec == null && specPieces == null
 }
 
 /**
- * The machines of one part of the cluster that have reported: one record for all of them, since a change of a third of
+ * Value of a shard's machine list in the state service: the machines that have reported. One record for all of them, since a change of a third of
  * a fleet must not cost a write for each machine. [retiring] names those that are to be given up.
  */
 @Serializable
@@ -57,7 +58,7 @@
     @SerialName("c") val compact: String? = null,
 )
 
-/** Machines of one kind with their addresses. */
+/** Machines of one type, zone and kind in a [FleetRecord]; [machines] maps each one's name to its address. */
 @Serializable
 data class FleetGroup(
     @SerialName("t") val type: String,
@@ -66,13 +67,17 @@
     @SerialName("m") val machines: Map<String, String>,
 )
 
-/** Claim of a shard, or of a borrowed machine. */
+/** Value of a claim in the state service, of a shard, a borrowed machine or the leadership: [node] holds it with [lease]. */
 @Serializable
 data class ClaimRecord(
     val node: String,
     val lease: Long,
 )
 
+/**
+ * Value of a controller's own key in the state service, attached to its [lease]; [since] is the time of day in microseconds
+ * at which it was written.
+ */
 @Serializable
 data class NodeRecord(
     val node: String,
@@ -80,7 +85,7 @@
     val since: Long,
 )
 
-/** A machine that has reported; [retiring] once it is to be released. Earlier versions stored it as a record of its own. */
+/** A machine that has reported, which earlier versions stored under a key of its own; [retiring] once it is to be released. */
 @Serializable
 data class MachineRecord(
     val type: String,
@@ -90,6 +95,7 @@
     val retiring: Retiring = Retiring.NO,
 )
 
+/** Whether a machine is to be released, in a [FleetRecord] or [MachineRecord]. */
 @Serializable
 enum class Retiring {
     @SerialName("no")
@@ -105,7 +111,7 @@
 }
 
 /**
- * The newest record format that a controller reads. It is never removed, so that a controller that is away for a while
+ * Value of a controller's format key in the state service: the newest record format that it reads. It is never removed, so that a controller that is away for a while
  * still counts with what it reads; without one it reads only the oldest.
  */
 @Serializable
@@ -113,7 +119,10 @@
     val level: Int,
 )
 
-/** A team's reservation: bumped by every placement of a limited team, so that two placers never both take the last room. */
+/**
+ * Value of a team's key in the state service: what its tasks take. Every placement of a team with a limit changes it, so
+ * that two controllers never both take the last room.
+ */
 @Serializable
 data class ReservationRecord(
     val cpus: Double,
@@ -121,7 +130,7 @@
 )
 
 /**
- * Dominant-resource use by team on one controller's machines, in share-seconds per time slot. In each slot the teams
+ * Value of a controller's usage key in the state service: dominant-resource use by team on one controller's machines, in share-seconds per time slot. In each slot the teams
  * follow one another as in the settings, from the one numbered [firstTeam] on.
  */
 @Serializable
--- a/src/main/kotlin/mintpick/wire/UserApi.kt
+++ b/src/main/kotlin/mintpick/wire/UserApi.kt
@@ -2,19 +2,15 @@
 
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
-import kotlinx.serialization.json.JsonArray
-import kotlinx.serialization.json.JsonElement
-import kotlinx.serialization.json.JsonNull
-import kotlinx.serialization.json.JsonObject
-import kotlinx.serialization.json.JsonPrimitive
-import kotlinx.serialization.json.doubleOrNull
-import kotlinx.serialization.json.longOrNull
 
+/** `shape` of a submission (`POST /api/jobs`): how the tasks of a job belong together. */
 @Serializable
 enum class JobKind {
+    /** Independent tasks, each runs to completion. */
     @SerialName("array")
     ARRAY,
 
+    /** Replicas, which run until the job is cancelled. */
     @SerialName("daemon")
     SERVICE,
 
@@ -23,7 +19,7 @@
     GANG,
 }
 
-/** Priorities from the most to the least urgent. */
+/** `rank` of a submission (`POST /api/jobs`), from the most to the least urgent. */
 @Serializable
 enum class Priority {
     @SerialName("prod")
@@ -39,7 +35,12 @@
     LOW,
 }
 
-/** What a user asks for, as it is submitted and as it is kept. */
+/**
+ * Body of `POST /api/jobs`, and the same form within the job's own record. [Submission] reads it from a user's request.
+ *
+ * [cpus], [gpus] and [memoryGb] are what each task takes; a name that ends in S is a duration in seconds, and
+ * [deadlineS] counts from the submission. [checkpointS] is 0 for tasks that never save, [estimateS] is 0 for services.
+ */
 @Serializable
 data class JobSpec(
     val id: String,
@@ -66,6 +67,7 @@
     @SerialName("waits_on") val predecessors: List<String>? = null,
 )
 
+/** `stage` of a job in answers to users; what is stored is a [StoredStage]. */
 @Serializable
 enum class JobStage {
     @SerialName("queued")
@@ -81,14 +83,14 @@
     CANCELLED,
 }
 
-/** The answer to a submission or a cancellation. */
+/** Answer to a submission (`POST /api/jobs`) or a cancellation (`POST /api/jobs/{id}/cancel`). */
 @Serializable
 data class JobAnswer(
     val id: String,
     @SerialName("stage") val stage: JobStage,
 )
 
-/** The answer to a poll. */
+/** Answer to a poll (`GET /api/jobs/{id}`); [done] and [running] are counts of tasks. */
 @Serializable
 data class JobStatus(
     val id: String,
@@ -97,145 +99,8 @@
     val running: Int,
 )
 
+/** Body of every answer to users, workers and controllers that is a refusal; [error] says what was wrong. */
 @Serializable
 data class ErrorAnswer(
     val error: String,
 )
-
-/** A submission that breaks the format; [message] names the field, [id] the job as far as that could be read. */
-class MalformedException(
-    message: String,
-    val id: String? = null,
-) : Exception(message)
-
-/**
- * Reads submissions. The serializer alone would take `"16"` for a number and 1e400 for a duration,
- * so every field is checked by hand before it becomes a [JobSpec].
- */
-object Submission {
-    const val MAX_TASKS = 100_000
-    private const val MAX_NAME = 200
-    private const val MAX_AMOUNT = 1e9
-    private val ID = Regex("req-[0-9]{1,17}")
-
-    fun isJobId(text: String): Boolean = ID.matches(text)
-
-    fun parse(body: String): JobSpec {
-        val root =
-            try {
-                WireJson.parseToJsonElement(body)
-            } catch (e: IllegalArgumentException) {
-                throw MalformedException("not JSON: ${e.message?.lineSequence()?.firstOrNull()?.take(MAX_NAME)}")
-            }
-        return Fields(root as? JsonObject ?: throw MalformedException("not an object")).spec()
-    }
-
-    private class Fields(
-        private val root: JsonObject,
-    ) {
-        fun spec(): JobSpec {
-            val id = name("id")
-            if (!isJobId(id)) throw MalformedException("id: not a job id")
-            return try {
-                spec(id)
-            } catch (e: MalformedException) {
-                throw MalformedException(e.message.orEmpty(), id)
-            }
-        }
-
-        private fun spec(id: String): JobSpec =
-            JobSpec(
-                id = id,
-                jobClass = name("sort"),
-                team = name("crew"),
-                kind = choice("shape", mapOf("array" to JobKind.ARRAY, "daemon" to JobKind.SERVICE, "ensemble" to JobKind.GANG)),
-                priority =
-                    choice(
-                        "rank",
-                        mapOf(
-                            "prod" to Priority.PRODUCTION,
-                            "high" to Priority.HIGH,
-                            "normal" to Priority.NORMAL,
-                            "idle" to Priority.LOW,
-                        ),
-                    ),
-                tasks = count("pieces"),
-                cpus = amount("vcpus"),
-                gpus = amount("cards"),
-                memoryGb = amount("mem_gb"),
-                image = name("bundle"),
-                imageGb = amount("pull_gb"),
-                types = names("breeds"),
-                zone = optional("plot")?.let { text("plot", it) },
-                oneZone = flag("together"),
-                spread = flag("spread"),
-                spot = flag("windfall"),
-                estimateS = amount("guess_s"),
-                checkpointS = amount("mark_every_s"),
-                saveS = amount("mark_cost_s"),
-                deadlineS = optional("due_s")?.let { number("due_s", it) },
-                predecessors = predecessors(id),
-            )
-
-        private fun optional(field: String): JsonElement? = root[field]?.takeUnless { it is JsonNull }
-
-        private fun required(field: String): JsonElement = optional(field) ?: throw MalformedException("$field: missing")
-
-        private fun text(
-            field: String,
-            element: JsonElement,
-        ): String {
-            val text = (element as? JsonPrimitive)?.takeIf { it.isString }?.content
-            if (text.isNullOrEmpty() || text.length > MAX_NAME) throw MalformedException("$field: not a name")
-            return text
-        }
-
-        private fun number(
-            field: String,
-            element: JsonElement,
-        ): Double {
-            val value = (element as? JsonPrimitive)?.takeUnless { it.isString }?.doubleOrNull
-            if (value == null || !value.isFinite() || value < 0 || value > MAX_AMOUNT) {
-                throw MalformedException("$field: not an amount")
-            }
-            return value
-        }
-
-        private fun name(field: String) = text(field, required(field))
-
-        private fun amount(field: String) = number(field, required(field))
-
-        private fun count(field: String): Int {
-            val primitive = (required(field) as? JsonPrimitive)?.takeUnless { it.isString }
-            val value = primitive?.longOrNull
-            if (value == null || value !in 1..MAX_TASKS) throw MalformedException("$field: not a count from 1 to $MAX_TASKS")
-            return value.toInt()
-        }
-
-        private fun flag(field: String): Boolean {
-            val primitive = (required(field) as? JsonPrimitive)?.takeUnless { it.isString }
-            return when (primitive?.content) {
-                "true" -> true
-                "false" -> false
-                else -> throw MalformedException("$field: not true or false")
-            }
-        }
-
-        private fun names(field: String): List<String>? {
-            val element = optional(field) ?: return null
-            return (element as? JsonArray ?: throw MalformedException("$field: not a list")).map { text(field, it) }
-        }
-
-        private fun predecessors(id: String): List<String>? {
-            val named = names("waits_on").orEmpty()
-            named.forEach { if (!isJobId(it)) throw MalformedException("waits_on: not a job id") }
-            if (id in named) throw MalformedException("waits_on: a job can't wait for itself")
-            return named.distinct().ifEmpty { null }
-        }
-
-        private fun <T> choice(
-            field: String,
-            values: Map<String, T>,
-        ): T = values[name(field)] ?: throw MalformedException("$field: unknown value")
-    }
-}
--- a/src/main/kotlin/mintpick/wire/Wire.kt
+++ b/src/main/kotlin/mintpick/wire/Wire.kt
@@ -13,11 +13,20 @@
 /** Largest request body that any interface accepts. */
 const val MAX_BODY_BYTES: Int = 64 * 1024
 
-/** Paths of the service's own interface. */
+/** Paths that the controllers serve to users and workers, and paths of the workers that the controllers call. */
 object Paths {
+    /** Submissions; polls and cancellations are below it. */
     const val JOBS = "/api/jobs"
+
+    /** The load balancer's health check. */
     const val HEALTH = "/up"
+
+    /** Reports of the workers. */
     const val REPORT = "/checkin"
+
+    /** Served by a worker: direct commands. */
     const val COMMANDS = "/commands"
+
+    /** Served by a worker: its report on demand. */
     const val INSPECT = "/inspect"
 }
--- a/src/main/kotlin/mintpick/wire/WorkerApi.kt
+++ b/src/main/kotlin/mintpick/wire/WorkerApi.kt
@@ -3,42 +3,53 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
+/** `stage` of a task in a worker's report. */
 @Serializable
 enum class TaskState {
+    /** Waits for its image. */
     @SerialName("fetching")
     FETCHING,
 
-    /** A gang's task whose mates are not all there yet. */
+    /** A gang's task while the others of the gang are not all there yet. */
     @SerialName("gathering")
     GATHERING,
 
     @SerialName("running")
     RUNNING,
 
+    /** Has got the command to stop and saves a checkpoint. */
     @SerialName("flushing")
     SAVING,
 
+    /** Ended; see [ExitCause]. */
     @SerialName("exited")
     EXITED,
 }
 
+/** `cause` of a task that has exited, in a worker's report. */
 @Serializable
 enum class ExitCause {
+    /** Completed. */
     @SerialName("done")
     DONE,
 
+    /** Stopped by command; [TaskReport.saved] says whether its progress was saved. */
     @SerialName("stopped")
     STOPPED,
 
+    /** Failed: mostly a faulty machine, sometimes a job that fails everywhere. */
     @SerialName("error")
     ERROR,
 
+    /** Start refused: not enough free resources on the machine. */
     @SerialName("full")
     NO_ROOM,
 
+    /** Start refused: the task is on this machine with another attempt. */
     @SerialName("in_use")
     BUSY,
 
+    /** Start refused: no such job or task. */
     @SerialName("unknown")
     UNKNOWN,
 
@@ -49,7 +60,10 @@
     ALONE,
 }
 
-/** One task on a machine, as its worker reports it. */
+/**
+ * One of `pieces` in a [MachineReport]: a task on the machine with its [attempt] (`try`); [saved] (`stored`) says of a
+ * stopped one whether its progress was saved.
+ */
 @Serializable
 data class TaskReport(
     @SerialName("piece") val task: String,
@@ -59,7 +73,13 @@
     @SerialName("stored") val saved: Boolean? = null,
 )
 
-/** What a worker says of its machine: the body of a report and of every answer to a direct command. */
+/**
+ * What a worker says of its machine: body of `POST /checkin`, and of its answers to `POST /commands` and `GET /inspect`.
+ *
+ * [session] (`shift`) is the agent's epoch, which increases when its lease expires; of two reports the one with the larger
+ * ([session], [seq]) is the newer one. [token] (`baton`) is the highest fencing token that the worker has seen, [noticeS]
+ * (`warning_s`) the seconds until the cloud takes the machine back.
+ */
 @Serializable
 data class MachineReport(
     @SerialName("picker") val machine: String,
@@ -74,18 +94,23 @@
     @SerialName("pieces") val tasks: List<TaskReport> = emptyList(),
 )
 
+/** `verb` of a [Command]. */
 @Serializable
 enum class Verb {
+    /** Start the task; no effect if the worker has this attempt already, in any state. */
     @SerialName("launch")
     START,
 
+    /** Save a checkpoint if the job has them and the grace time is long enough, then exit. */
     @SerialName("stop")
     STOP,
 
+    /** Remove an exited task from the reports. */
     @SerialName("reap")
     FORGET,
 }
 
+/** One of `orders` to a worker; [graceS] (`leeway_s`) is the time in whole seconds that a stopped task has to save. */
 @Serializable
 data class Command(
     @SerialName("verb") val verb: Verb,
@@ -94,20 +119,23 @@
     @SerialName("leeway_s") val graceS: Int? = null,
 )
 
-/** The answer to a report. */
+/** Answer 200 to `POST /checkin`; it renews the worker's lease unless [token] (`baton`) is lower than one it has seen. */
 @Serializable
 data class ReportAnswer(
     @SerialName("baton") val token: Long,
     @SerialName("orders") val commands: List<Command>,
 )
 
-/** Sends a worker to another controller. */
+/** Answer 421 to `POST /checkin`: sends a worker to the controller [reportTo] (`foreman`), or to the next one if that is null. */
 @Serializable
 data class Misdirected(
     @SerialName("foreman") val reportTo: String? = null,
 )
 
-/** Commands sent straight to a worker. */
+/**
+ * Body of `POST /commands`, sent straight to a worker; executed only if [token] (`baton`) is not lower than the highest it
+ * has seen and [session] (`shift`) is its own. It does not renew the lease.
+ */
 @Serializable
 data class CommandBatch(
     @SerialName("baton") val token: Long,
