--- a/src/main/kotlin/mintpick/core/FailureTracker.kt
+++ b/src/main/kotlin/mintpick/core/FailureTracker.kt
@@ -30,7 +30,7 @@
     private val failedJobsOn = HashMap<MachineId, LinkedHashSet<JobId>>()
 
     /**
-     * A task of [job] ended with an error on [machine] at [now]; [hasSucceeded] tells whether any of the job's tasks ever
+     * A task of [job] ended with an error on [machine] at [now]; [hasSucceeded] says whether any of the job's tasks ever
      * completed.
      */
     fun failed(
@@ -102,7 +102,7 @@
     ): Boolean = now >= (jobs[job]?.retryAtUs ?: 0)
 
     /** Machines on which [job] has failed lately, so that a retry there would tell nothing new. */
-    fun triedOn(job: JobId): Set<MachineId> = jobs[job]?.machines.orEmpty()
+    fun failedMachines(job: JobId): Set<MachineId> = jobs[job]?.machines.orEmpty()
 
     /** Drops what is known of jobs that are not open and of machines that are not known any more. */
     fun retain(
--- a/src/main/kotlin/mintpick/core/Job.kt
+++ b/src/main/kotlin/mintpick/core/Job.kt
@@ -19,7 +19,7 @@
 )
 
 /**
- * A job that is not final, or is cancelled with tasks still to be seen gone. Immutable. Tasks are numbered from 0 on and kept in
+ * A job that is not final, or is cancelled while reports do not yet prove that all its tasks have ended. Immutable. Tasks are numbered from 0 on and kept in
  * chunks of [CHUNK].
  *
  * @param submittedUs when the job was submitted: a time of day in microseconds
--- a/src/main/kotlin/mintpick/core/MachineView.kt
+++ b/src/main/kotlin/mintpick/core/MachineView.kt
@@ -89,7 +89,7 @@
     /** Names of the images on the machine. */
     val imageNames: Set<String> get() = images.keys
 
-    /** A start without an answer on a machine that has been heard since: only a higher token makes it harmless. */
+    /** A start without an answer on a machine that has reported since: only a higher token makes it harmless. */
     val needsHigherToken: Boolean get() = lost.isNotEmpty()
 
     /** What the newest message says of [attempt]; null if it is absent there. */
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
@@ -44,9 +44,9 @@
 
     private fun plan(): ScaleOutPlan {
         val planner = ScaleOutPlanner(cache.types, context.settings.zones, scaleOut::bootsSlowly, scaleOut::isAvailable)
-        val rooms: List<CandidateMachine> = capacityView.rooms()
-        val demands = demandForecast.waiting(rooms) + demandForecast.expected()
-        return planner.plan(rooms, demands.sortedBy { !it.spec.isService }, MAX_NEW_MACHINES)
+        val candidates: List<CandidateMachine> = capacityView.rooms()
+        val demands = demandForecast.waiting(candidates) + demandForecast.expected()
+        return planner.plan(candidates, demands.sortedBy { !it.spec.isService }, MAX_NEW_MACHINES)
     }
 
     private fun execute(plan: ScaleOutPlan) {
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
@@ -44,14 +44,14 @@
 
     /** All machines with what they have free; of those that are up the fullest first, so that what is empty stays empty. */
     fun rooms(): List<CandidateMachine> {
-        val rooms = listedRooms() + bootingRooms() + pendingRooms()
-        return rooms.sortedWith(compareBy({ !it.isUp }, { it.free.dominantShare(it.total) }, { !it.spot }))
+        val candidates = listedCandidates() + bootingCandidates() + pendingCandidates()
+        return candidates.sortedWith(compareBy({ !it.isUp }, { it.free.dominantShare(it.total) }, { !it.spot }))
     }
 
-    private fun listedRooms(): List<CandidateMachine> =
+    private fun listedCandidates(): List<CandidateMachine> =
         cache.machines.values.mapNotNull { machine ->
             val type = cache.types[machine.record.type]
-            if (type == null || !isUsable(machine)) null else roomOn(machine, type)
+            if (type == null || !isUsable(machine)) null else candidateOn(machine, type)
         }
 
     /** Whether [machine] takes tasks, now or once its controller finds the time. */
@@ -65,7 +65,7 @@
         return !agents.isFresh(view) || commandPlanner.isDraining(view, shardClaims.control(machine))
     }
 
-    private fun roomOn(
+    private fun candidateOn(
         machine: KnownMachine,
         type: MachineType,
     ): CandidateMachine {
@@ -87,18 +87,18 @@
     }
 
     /** Some machines take several times as long to boot, or forever: those that are late do not count. */
-    private fun bootingRooms(): List<CandidateMachine> =
+    private fun bootingCandidates(): List<CandidateMachine> =
         inventory.booting.all
             .filterNot(inventory.booting::isLate)
-            .mapNotNull { emptyRoom(it.id, it.offer) }
+            .mapNotNull { emptyCandidate(it.id, it.offer) }
 
-    private fun pendingRooms(): List<CandidateMachine> =
+    private fun pendingCandidates(): List<CandidateMachine> =
         scaleOut.pendingMachines().flatMap { (offer, count) ->
-            (0 until count).mapNotNull { emptyRoom(MachineId("pending-$it"), offer) }
+            (0 until count).mapNotNull { emptyCandidate(MachineId("pending-$it"), offer) }
         }
 
     /** A machine that is not up yet; null if its type is unknown. */
-    private fun emptyRoom(
+    private fun emptyCandidate(
         id: MachineId,
         offer: Offer,
     ): CandidateMachine? {
--- a/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
@@ -61,8 +61,8 @@
      * What waits, in the scheduler's order. Work that may use spot machines is worth on-demand ones when the spot machines
      * among [rooms] would need too long for what waits: longer than a part of what its class is expected to take altogether.
      */
-    fun waiting(rooms: List<CandidateMachine>): List<CapacityDemand> {
-        val spotCpus = rooms.filter { it.spot }.sumOf { it.total.cpus }
+    fun waiting(candidates: List<CandidateMachine>): List<CapacityDemand> {
+        val spotCpus = candidates.filter { it.spot }.sumOf { it.total.cpus }
         val quota = scheduler.teamQuota()
         var queuedCpuSeconds = 0.0
         val demands = ArrayList<CapacityDemand>()
--- a/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -71,7 +71,7 @@
     fun hintedImages(within: Micros): Map<MachineId, Set<String>> = hints.hintedImages(within)
 
     /** Whether [node] could not place what waits there: its hint says so, or there is no recent one. */
-    fun lacksRoom(node: NodeId): Boolean = hints.lacksRoom(node)
+    fun lacksCapacity(node: NodeId): Boolean = hints.lacksCapacity(node)
 
     /** Whether there is a recent hint of [node]. */
     fun hears(node: NodeId): Boolean = hints.hears(node)
--- a/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
@@ -59,7 +59,7 @@
         return images
     }
 
-    fun lacksRoom(node: NodeId): Boolean = !hears(node) || received[node]?.hint?.lacksRoom == true
+    fun lacksCapacity(node: NodeId): Boolean = !hears(node) || received[node]?.hint?.lacksRoom == true
 
     fun hears(node: NodeId): Boolean = received[node]?.isRecent() ?: false
 
--- a/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
@@ -29,26 +29,26 @@
      * hold as a whole, from everybody's machines. Exception: what the preferred controller has had no room for may be placed by
      * another controller on its own machines, see docs/design.md.
      */
-    fun roomsFor(
+    fun candidatesFor(
         job: Job,
         unchangedUs: Micros,
-        rooms: PassRooms,
+        candidates: PassCandidates,
     ): Candidates? {
-        if (shardClaims.isLeader && needsAllMachines(job, unchangedUs, rooms)) return rooms.all
+        if (shardClaims.isLeader && needsAllMachines(job, unchangedUs, candidates)) return candidates.all
         val preferred = shardClaims.preferredController(job.id)
-        if (preferred == context.self || preferred == null) return rooms.own
-        return if (mayHelp(job, preferred, unchangedUs)) rooms.own else null
+        if (preferred == context.self || preferred == null) return candidates.own
+        return if (mayHelp(job, preferred, unchangedUs)) candidates.own else null
     }
 
     private fun needsAllMachines(
         job: Job,
         unchangedUs: Micros,
-        rooms: PassRooms,
+        candidates: PassCandidates,
     ): Boolean {
         if (!isLarge(job, unchangedUs)) return false
         // This controller's machines may hold a gang, were they empty, and never be empty at the same time.
         val isUnschedulable = job.spec.isGang && unchangedUs >= LARGE_AFTER
-        return isUnschedulable || !rooms.own.couldHold(job.spec, job.waiting)
+        return isUnschedulable || !candidates.own.couldHold(job.spec, job.waiting)
     }
 
     /** Placed whole or not at all, or unschedulable for a while. */
@@ -67,7 +67,7 @@
         unchangedUs: Micros,
     ): Boolean {
         val delay = if (isFirstHelper(job, preferred)) FIRST_HELPER_AFTER else SECOND_HELPER_AFTER
-        return health.lacksRoom(preferred) && unchangedUs >= delay
+        return health.lacksCapacity(preferred) && unchangedUs >= delay
     }
 
     /** The job's id picks which of the two other controllers helps first. */
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -30,7 +30,7 @@
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
     private val reconciler: Reconciler,
-    private val candidates: MachineCandidates,
+    private val machineCandidates: MachineCandidates,
     private val jobUrgency: JobUrgency,
     placementSample: Int,
 ) {
@@ -41,24 +41,24 @@
     private val cache get() = context.cache
 
     /**
-     * Places up to [startable] tasks of [job] on [rooms], one view of the rooms of [pass]. Returns how many were drafted: 0
+     * Places up to [startable] tasks of [job] on [candidates], one view of the candidates of [pass]. Returns how many were drafted: 0
      * also where room was found and is held, but a write, a borrowed machine or the next round of parts is waited for.
      */
     fun place(
         job: Job,
         startable: Int,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ): Int {
         val limit = taskLimit(job, startable, pass)
         if (limit <= 0) return 0
-        val found = findMachines(job, limit, rooms, pass)
+        val found = findMachines(job, limit, candidates, pass)
         if (found.isEmpty() || isIncompleteGang(job, found.size, job.waiting)) return 0
-        hold(found, job, rooms, pass)
+        hold(found, job, candidates, pass)
         if (!pass.hasWriteFor(job)) return 0
-        val placeable = found.filter { isReady(it.machine, rooms) }
+        val placeable = found.filter { isReady(it.machine, candidates) }
         if (placeable.isEmpty() || isIncompleteGang(job, placeable.size, found.size)) return 0
-        return draftPlacements(job, placeable, rooms, pass)
+        return draftPlacements(job, placeable, candidates, pass)
     }
 
     private fun taskLimit(
@@ -80,7 +80,7 @@
     private fun draftPlacements(
         job: Job,
         placeable: List<PlacedTask>,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ): Int {
         // Parts of jobs are placed now and then, not for each task that ends or machine that comes up, since each costs
@@ -90,55 +90,55 @@
         val draft = pass.draftOf(job.id) ?: return 0
         if (draft.job.stage != StoredStage.OPEN) return 0
         if (isPart) pass.hasPlacedParts = true
-        return assign(placeable, draft, rooms, pass)
+        return assign(placeable, draft, candidates, pass)
     }
 
     private fun findMachines(
         job: Job,
         limit: Int,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ): List<PlacedTask> {
         val request =
             PlacementRequest(
                 job.spec,
                 job.waitingTasks(),
-                candidates.zonesOf(job),
+                machineCandidates.zonesOf(job),
                 limit,
                 pass.isOverloaded,
-                avoided = reconciler.failures.triedOn(job.id),
+                avoided = reconciler.failures.failedMachines(job.id),
                 spotOnly = keepsToSpot(job),
             )
-        return placer.place(request, rooms)
+        return placer.place(request, candidates)
     }
 
     /** Holds the room of [found] for the rest of the pass, and asks for those machines that have to be borrowed first. */
     private fun hold(
         found: List<PlacedTask>,
         job: Job,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ) {
-        for (placement in found) rooms.take(placement.machine, job.spec.demand)
+        for (placement in found) candidates.take(placement.machine, job.spec.demand)
         // A machine that is borrowed takes work only after the old owner has surely stopped placing there.
         for (placement in found) {
-            if (rooms[placement.machine]?.isOwned == false) pass.toBorrow += placement.machine
+            if (candidates[placement.machine]?.isOwned == false) pass.toBorrow += placement.machine
         }
     }
 
     private fun isReady(
         machine: MachineId,
-        rooms: Candidates,
+        candidates: Candidates,
     ): Boolean {
-        val room = rooms[machine] ?: return false
-        return room.isOwned && room.isReady
+        val candidate = candidates[machine] ?: return false
+        return candidate.isOwned && candidate.isReady
     }
 
     /** Adds [placements] to [draft] as far as a transaction has room for them, and returns how many. */
     private fun assign(
         placements: List<PlacedTask>,
         draft: JobUpdate,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ): Int {
         val job = draft.before
@@ -154,7 +154,7 @@
         }
         pass.writes += maxOf(1, draft.changedChunks.size)
         if (LOG.isDebugEnabled) {
-            val isOnAllMachines = rooms !== pass.rooms.own
+            val isOnAllMachines = candidates !== pass.candidates.own
             LOG.debug("place job={} tasks={} machines={} all_shards={}", job.id.text, count, machines.size, isOnAllMachines)
         }
         return count
@@ -170,18 +170,18 @@
         return draft.addMachineGuards(shardClaims.guards(machine))
     }
 
-    /** Whether there is room for a task of [job] on [rooms]. False for gangs, for which room for one task says nothing. */
+    /** Whether there is room for a task of [job] on [candidates]. False for gangs, for which room for one task says nothing. */
     fun couldPlace(
         job: Job,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ): Boolean {
         if (job.spec.isGang) return false
         if (!pass.jobUpdates.isTeamFree(job.spec.team)) return false
         if (pass.teams.tasks(job.spec) <= 0) return false
-        val request = PlacementRequest(job.spec, job.waitingTasks(), candidates.zonesOf(job), limit = 1, pass.isOverloaded)
-        val found = placer.place(request, rooms)
-        return found.any { (_, machine) -> isReady(machine, rooms) }
+        val request = PlacementRequest(job.spec, job.waitingTasks(), machineCandidates.zonesOf(job), limit = 1, pass.isOverloaded)
+        val found = placer.place(request, candidates)
+        return found.any { (_, machine) -> isReady(machine, candidates) }
     }
 
     /**
--- a/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
@@ -41,21 +41,21 @@
     val ownMachineCount: Int get() = agents.controlled.size
 
     /** Room on this controller's own machines, less what [jobUpdates] has under way. */
-    fun ownRooms(jobUpdates: JobUpdates): List<CandidateMachine> =
+    fun ownCandidates(jobUpdates: JobUpdates): List<CandidateMachine> =
         agents.controlled.mapNotNull { id ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.control(id)
             if (claim == null || !shardClaims.isOwn(claim)) return@mapNotNull null
-            roomOn(Candidate(machine, claim, isOwn = true, emptySet()), jobUpdates)
+            candidateOn(Candidate(machine, claim, isOwn = true, emptySet()), jobUpdates)
         }
 
     /** Room on the other controllers' machines that they have heard from lately. */
-    fun othersRooms(jobUpdates: JobUpdates): List<CandidateMachine> =
+    fun othersCandidates(jobUpdates: JobUpdates): List<CandidateMachine> =
         health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.control(id)
             if (claim == null || shardClaims.isOwn(claim)) return@mapNotNull null
-            roomOn(Candidate(machine, claim, isOwn = false, images), jobUpdates)
+            candidateOn(Candidate(machine, claim, isOwn = false, images), jobUpdates)
         }
 
     /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
@@ -69,7 +69,7 @@
         return counts
     }
 
-    private fun roomOn(
+    private fun candidateOn(
         candidate: Candidate,
         jobUpdates: JobUpdates,
     ): CandidateMachine? {
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -12,7 +12,7 @@
 import mintpick.engine.transactions.JobUpdate
 
 /** The machines that one pass may place tasks on. What is taken of a machine is taken in both views. */
-class PassRooms(
+class PassCandidates(
     /** The machines of this controller's shards and those that it borrows. */
     val own: Candidates,
     others: () -> List<CandidateMachine>,
@@ -29,7 +29,7 @@
     val jobUpdates: JobUpdates,
     /** The draft of a job's next transaction; null if the job can't be changed now. */
     val draftOf: (JobId) -> JobUpdate?,
-    val rooms: PassRooms,
+    val candidates: PassCandidates,
     val teams: TeamQuota,
     /** So much waits that a sample of the machines has to do. */
     val isOverloaded: Boolean,
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -46,7 +46,7 @@
 
     /** What would have to be preempted on one machine to make room for one task. */
     private class Plan(
-        val room: CandidateMachine,
+        val candidate: CandidateMachine,
         val victims: List<Victim>,
         val lostCpuMicros: Double,
     )
@@ -72,7 +72,7 @@
      */
     fun preemptFor(
         job: Job,
-        rooms: Candidates,
+        candidates: Candidates,
         perZone: Map<String, Int>,
     ) {
         if (!job.spec.isProduction && !usageAccounting.isFunded(job.id)) return
@@ -80,10 +80,10 @@
         jobPausedUntil[job.id] = context.now + JOB_PAUSE
         val preemptor = preemptorOf(job)
         val zoneCounts = HashMap(perZone)
-        val sample = rooms.sample(context.random, SAMPLED_MACHINES)
+        val sample = candidates.sample(context.random, SAMPLED_MACHINES)
         repeat(minOf(job.waiting, MAX_MACHINES_AT_ONCE)) {
             val plan = cheapestPlan(job.spec, sample, zoneCounts, preemptor) ?: return
-            zoneCounts.merge(plan.room.zone, 1, Int::plus)
+            zoneCounts.merge(plan.candidate.zone, 1, Int::plus)
             carryOut(plan, job)
         }
     }
@@ -107,16 +107,16 @@
             .mapNotNull { planOn(it, spec.demand, preemptor) }
             .minByOrNull { it.lostCpuMicros }
 
-    /** The latest tasks that yield on the machine of [room], until [demand] fits; null if it never does, or fits as it is. */
+    /** The latest tasks to preempt on [candidate] until [demand] fits; null if it never does, or fits as it is. */
     private fun planOn(
-        room: CandidateMachine,
+        candidate: CandidateMachine,
         demand: Resources,
         preemptor: Preemptor,
     ): Plan? {
-        var free = room.free
+        var free = candidate.free
         var lostCpuMicros = 0.0
         val victims = ArrayList<Victim>()
-        for (victim in victimsOn(room.machine, preemptor)) {
+        for (victim in victimsOn(candidate.machine, preemptor)) {
             if (demand.fits(free)) break
             val spec = cache.job(victim.attempt.task.job)?.spec ?: continue
             free += spec.demand
@@ -124,10 +124,10 @@
             victims += victim
         }
         if (victims.isEmpty() || !demand.fits(free)) return null
-        return Plan(room, victims, lostCpuMicros)
+        return Plan(candidate, victims, lostCpuMicros)
     }
 
-    /** What yields to [preemptor] on [machine], the latest assignment first: the least of its work is lost. */
+    /** What is preempted for [preemptor] on [machine], the latest assignment first: the least of its work is lost. */
     private fun victimsOn(
         machine: MachineId,
         preemptor: Preemptor,
@@ -175,7 +175,7 @@
         plan: Plan,
         job: Job,
     ) {
-        val machine = plan.room.machine
+        val machine = plan.candidate.machine
         machinePausedUntil[machine] = context.now + MACHINE_PAUSE
         if (!shardClaims.controls(machine)) {
             // The leader may stop tasks only on what it commands; once it is borrowed the job asks again.
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -20,7 +20,7 @@
     private val context: EngineContext,
     private val queue: JobQueue,
     private val controllerSelection: ControllerSelection,
-    private val candidates: MachineCandidates,
+    private val machineCandidates: MachineCandidates,
     private val faultyJobs: FaultyJobs,
     private val jobPlacer: JobPlacer,
     private val preemptionPlanner: PreemptionPlanner,
@@ -56,7 +56,7 @@
     fun keepsToSpot(job: Job): Boolean = jobPlacer.keepsToSpot(job)
 
     /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
-    fun zonesOf(job: Job): Map<String, Int> = candidates.zonesOf(job)
+    fun zonesOf(job: Job): Map<String, Int> = machineCandidates.zonesOf(job)
 
     /** What teams may still use under their limits as the records stand. */
     fun teamQuota(): TeamQuota = teamLimits.quota()
@@ -73,7 +73,7 @@
         // What was just observed moves in the same write; otherwise planning more often than this finds nothing new.
         val hasRequeued = drafts.values.any { it.job.waiting > it.before.waiting }
         if (!pacing.isDue && !hasRequeued) return
-        pacing.passStarted(context.cache.waitingJobs().size, candidates.ownMachineCount)
+        pacing.passStarted(context.cache.waitingJobs().size, machineCandidates.ownMachineCount)
         lacksWrites = false
         val waiting = waitingJobs(drafts)
         unchangedJobs.retain(waiting.keys)
@@ -107,12 +107,12 @@
         draftOf: (JobId) -> JobUpdate?,
         waitingJobs: Int,
     ): PlacementPass {
-        val own = Candidates.of(candidates.ownRooms(jobUpdates))
+        val own = Candidates.of(machineCandidates.ownCandidates(jobUpdates))
         val writeBudget = jobUpdates.writeBudget()
         return PlacementPass(
             jobUpdates,
             draftOf,
-            PassRooms(own) { candidates.othersRooms(jobUpdates) },
+            PassCandidates(own) { machineCandidates.othersCandidates(jobUpdates) },
             teamQuota(),
             isOverloaded = pacing.isOverloaded(waitingJobs),
             mayPlaceParts = pacing.mayPlaceParts(writeBudget),
@@ -130,30 +130,30 @@
         val unchangedUs = unchangedJobs.observe(job)
         val isFree = pass.jobUpdates.isFree(job.id)
         // Asked for also while the job is not free: that may build the view of all machines, whose order depends on when.
-        val rooms = controllerSelection.roomsFor(job, unchangedUs, pass.rooms).takeIf { isFree }
+        val candidates = controllerSelection.candidatesFor(job, unchangedUs, pass.candidates).takeIf { isFree }
         val hasWrite = pass.hasWriteFor(job)
         if (!hasWrite && !job.spec.isProduction) {
             // One job that could be placed is enough to know.
-            pass.lacksWrites = pass.lacksWrites || (rooms != null && jobPlacer.couldPlace(job, rooms, pass))
+            pass.lacksWrites = pass.lacksWrites || (candidates != null && jobPlacer.couldPlace(job, candidates, pass))
             pass.unschedulable += job
             return
         }
-        val placed = if (rooms == null) 0 else jobPlacer.place(job, startable, rooms, pass)
+        val placed = if (candidates == null) 0 else jobPlacer.place(job, startable, candidates, pass)
         if (placed >= startable) return
         pass.unschedulable += job
-        if (placed == 0 && rooms != null && hasWrite && pass.teamMayPlace(job)) onNoRoom(job, unchangedUs, rooms, pass)
+        if (placed == 0 && candidates != null && hasWrite && pass.teamMayPlace(job)) onNoRoom(job, unchangedUs, candidates, pass)
     }
 
     private fun onNoRoom(
         job: Job,
         unchangedUs: Micros,
-        rooms: Candidates,
+        candidates: Candidates,
         pass: PlacementPass,
     ) {
         pass.lacksCapacity = true
         // Another controller may have room, for which nobody has to be preempted.
         val hasWaited = unchangedUs >= PREEMPT_AFTER
-        if (hasWaited && !faultyJobs.isFaulty(job)) preemptionPlanner.preemptFor(job, rooms, candidates.zonesOf(job))
+        if (hasWaited && !faultyJobs.isFaulty(job)) preemptionPlanner.preemptFor(job, candidates, machineCandidates.zonesOf(job))
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/wire/Records.kt
+++ b/src/main/kotlin/mintpick/wire/Records.kt
@@ -17,8 +17,10 @@
 }
 
 /**
- * Value of a chunk's key in the state service: the tasks of one chunk of a job. [placed] maps a machine to pairs (task, attempt); [done] holds inclusive
- * ranges; [attempts] holds pairs (task, last attempt) of waiting tasks that have been placed before.
+ * Value of a chunk's key in the state service: the tasks of one chunk of a job.
+ *
+ * [placed] maps a machine to pairs (task, attempt); [done] holds inclusive ranges; [attempts] holds pairs (task, last
+ * attempt) of waiting tasks that have been placed before.
  */
 @Serializable
 data class ChunkRecord(
@@ -30,8 +32,10 @@
 )
 
 /**
- * Value of a job's key in the state service, its main record. A final one has neither [spec] nor [chunk]. A large specification is kept in so many records of its
- * own as [specPieces] says.
+ * Value of a job's key in the state service, its main record.
+ *
+ * A final one has neither [spec] nor [chunk]. A large specification is kept in so many records of its own as [specPieces]
+ * says. [submittedUs] is in microseconds of the time of day.
  */
 @Serializable
 data class JobRecord(
@@ -47,8 +51,10 @@
 }
 
 /**
- * Value of a shard's machine list in the state service: the machines that have reported. One record for all of them, since a change of a third of
- * a fleet must not cost a write for each machine. [retiring] names those that are to be given up.
+ * Value of a shard's machine list in the state service: the machines that have reported.
+ *
+ * One record holds many of them, since a change of a third of a fleet must not cost a write for each machine. [retiring]
+ * names those that are to be released.
  */
 @Serializable
 data class FleetRecord(
@@ -111,8 +117,10 @@
 }
 
 /**
- * Value of a controller's format key in the state service: the newest record format that it reads. It is never removed, so that a controller that is away for a while
- * still counts with what it reads; without one it reads only the oldest.
+ * Value of a controller's format key in the state service: the newest record format that it reads.
+ *
+ * It is never removed, so that a controller that is away for a while still counts with what it reads; without one it
+ * reads only the oldest.
  */
 @Serializable
 data class FormatRecord(
@@ -130,8 +138,8 @@
 )
 
 /**
- * Value of a controller's usage key in the state service: dominant-resource use by team on one controller's machines, in share-seconds per time slot. In each slot the teams
- * follow one another as in the settings, from the one numbered [firstTeam] on.
+ * Value of a controller's usage key in the state service: dominant-resource use by team on its machines, in share-seconds
+ * per time slot. In each slot the teams follow one another as in the settings, from the one numbered [firstTeam] on.
  */
 @Serializable
 data class UsageRecord(
--- a/src/main/kotlin/mintpick/wire/Submission.kt
+++ b/src/main/kotlin/mintpick/wire/Submission.kt
@@ -139,7 +139,8 @@
 
     private fun names(field: String): List<String>? {
         val element = optional(field) ?: return null
-        return (element as? JsonArray ?: throw MalformedException("$field: not a list")).map { text(field, it) }
+        val list = element as? JsonArray ?: throw MalformedException("$field: not a list")
+        return list.map { text(field, it) }
     }
 
     private fun predecessors(id: String): List<String>? {
--- a/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
+++ b/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
@@ -15,9 +15,9 @@
 class PreemptionPolicyTest {
     private val config = PropTestConfig(seed = 41, iterations = 3_000)
     private val teams = Arb.element("red", "blue")
-    private val claimants =
+    private val preemptors =
         arbitrary { Preemptor(teams.bind(), Arb.element(Priority.entries).bind(), Arb.boolean().bind(), Arb.boolean().bind()) }
-    private val occupants =
+    private val victims =
         arbitrary {
             RunningTask(
                 teams.bind(),
@@ -31,7 +31,7 @@
     @Test
     fun `a funded task inside its window is never a victim`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { victim, preemptor ->
+            checkAll(config, victims, preemptors) { victim, preemptor ->
                 if (victim.isFunded && !victim.isExpired) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
             }
         }
@@ -39,7 +39,7 @@
     @Test
     fun `unallocated work yields to every funded request that the platform lets stop it`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { victim, preemptor ->
+            checkAll(config, victims, preemptors) { victim, preemptor ->
                 val allowed = preemptor.priority < victim.priority || preemptor.team != victim.team
                 if (!victim.isFunded && preemptor.isFunded && allowed) assertTrue(PreemptionPolicy.isPreempted(victim, preemptor))
             }
@@ -48,7 +48,7 @@
     @Test
     fun `nothing yields to unallocated requests but services before batch work`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { victim, preemptor ->
+            checkAll(config, victims, preemptors) { victim, preemptor ->
                 val service = preemptor.priority == Priority.PRODUCTION && victim.priority != Priority.PRODUCTION
                 if (!preemptor.isFunded && !service) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
             }
@@ -57,7 +57,7 @@
     @Test
     fun `expired funded work yields only from a team over share to one that is not`(): Unit =
         runBlocking {
-            checkAll(config, occupants, claimants) { victim, preemptor ->
+            checkAll(config, victims, preemptors) { victim, preemptor ->
                 if (victim.isFunded && PreemptionPolicy.isPreempted(victim, preemptor)) {
                     assertTrue(victim.isExpired && victim.isTeamOverShare && !preemptor.isTeamOverShare)
                 }
