--- a/src/main/kotlin/mintpick/cloud/CloudProtocol.kt
+++ b/src/main/kotlin/mintpick/cloud/CloudProtocol.kt
@@ -95,7 +95,7 @@
             Result.Ok(WireJson.decodeFromString(serializer, answer.text()))
         } catch (e: IllegalArgumentException) {
             // The decoder's own exception is one of these, as is a value that a record refuses.
-            LOG.warn("cloud answer malformed type={} bytes={}", serializer.descriptor.serialName, answer.body.size, e)
+            LOG.debug("cloud answer malformed type={} bytes={}", serializer.descriptor.serialName, answer.body.size, e)
             Result.Unknown
         }
 
--- a/src/main/kotlin/mintpick/net/HttpCaller.kt
+++ b/src/main/kotlin/mintpick/net/HttpCaller.kt
@@ -23,7 +23,6 @@
     private val peers = GrowingPool("peer", PEER_THREADS)
 
     private val idle = IdleConnections()
-    private val failureLogLimit = LogLimit(FAILURE_LOG_INTERVAL_S)
 
     /**
      * Makes [call] and passes its outcome on with [id]; never waits for the network. If too many calls wait already, the
@@ -36,8 +35,7 @@
         try {
             poolOf(call.target).execute { performAndReport(id, call) }
         } catch (e: RejectedExecutionException) {
-            LOG.warn("call dropped target={} path={} reason={}", call.target, call.path, e.message)
-            LOG.debug("call dropped path={}", call.path, e)
+            LOG.debug("call dropped target={} path={} reason={}", call.target, call.path, e.message)
             done(id, Outcome.NotSent)
         }
     }
@@ -95,18 +93,11 @@
         return PooledConnection.open(call.target.address, timeoutMs.toInt())
     }
 
-    /**
-     * A dead machine or a network partition fails calls by the hundred: at most one line in a while is logged at the level that
-     * is on by default, every failure with its stack trace at debug level.
-     */
+    /** At debug level only: a dead machine or a network partition fails calls by the hundred, and the engine hears of each. */
     private fun logFailure(
         call: Call,
         cause: Exception,
-    ) {
-        LOG.debug("call failed target={} path={}", call.target, call.path, cause)
-        val suppressed = failureLogLimit.acquire() ?: return
-        LOG.warn("call failed target={} path={} reason={} suppressed={}", call.target, call.path, cause.toString(), suppressed)
-    }
+    ) = LOG.debug("call failed target={} path={} reason={}", call.target, call.path, cause.toString())
 
     companion object {
         private val LOG = LoggerFactory.getLogger(HttpCaller::class.java)
@@ -120,6 +111,5 @@
         private const val SUSPECT_THREADS = 32
         private const val PEER_THREADS = 2
         private const val CONNECT_TIMEOUT_MS = 1000L
-        private const val FAILURE_LOG_INTERVAL_S = 10L
     }
 }
--- a/src/main/kotlin/mintpick/net/JdkServer.kt
+++ b/src/main/kotlin/mintpick/net/JdkServer.kt
@@ -35,7 +35,6 @@
 ) {
     private val readers = pool("http", threads)
     private val writers = pool("reply", maxOf(1, threads / READERS_PER_WRITER))
-    private val failureLogLimit = LogLimit(FAILURE_LOG_INTERVAL_S)
     private var server: HttpServer? = null
 
     /**
@@ -102,15 +101,11 @@
         }
     }
 
-    /** Clients that give up are common when the service is slow: few lines at the default level, all with stack trace at debug level. */
+    /** At debug level only: clients that give up are common when the service is slow. */
     private fun logFailure(
         exchange: HttpExchange,
         cause: IOException,
-    ) {
-        LOG.debug("answer not sent path={}", exchange.requestURI, cause)
-        val suppressed = failureLogLimit.acquire() ?: return
-        LOG.warn("answer not sent path={} reason={} suppressed={}", exchange.requestURI, cause.toString(), suppressed)
-    }
+    ) = LOG.debug("answer not sent path={} reason={}", exchange.requestURI, cause.toString())
 
     companion object {
         private val LOG = LoggerFactory.getLogger(JdkServer::class.java)
@@ -118,7 +113,6 @@
         private const val IDLE_THREAD_S = 30L
         private const val STACK_BYTES = 256L * 1024
         private const val READERS_PER_WRITER = 4
-        private const val FAILURE_LOG_INTERVAL_S = 10L
 
         /** What the JDK's server takes for a response without a body. */
         private const val NO_BODY = -1L
--- a/src/main/kotlin/mintpick/store/StateProtocol.kt
+++ b/src/main/kotlin/mintpick/store/StateProtocol.kt
@@ -158,7 +158,7 @@
     private fun logUnreadable(
         outcome: Outcome.Answered,
         cause: IllegalArgumentException,
-    ) = LOG.warn(
+    ) = LOG.debug(
         "state answer unreadable status={} bytes={} reason={}",
         outcome.status,
         outcome.body.size,
--- a/src/main/kotlin/mintpick/users/Routes.kt
+++ b/src/main/kotlin/mintpick/users/Routes.kt
@@ -134,7 +134,7 @@
                 WireJson.decodeFromString(MachineReport.serializer(), body.decodeToString())
             } catch (e: IllegalArgumentException) {
                 // The decoder's own exception is one of these, as is a value that a record refuses.
-                LOG.warn("heartbeat malformed bytes={}", body.size, e)
+                LOG.debug("heartbeat malformed bytes={}", body.size, e)
                 return respond(errorAnswer(BAD_REQUEST, e.message ?: MALFORMED).toResponse())
             }
         pending.enqueue(respond) { reply -> Event.Report(report, reply) }
--- a/src/main/kotlin/mintpick/workers/WorkerProtocol.kt
+++ b/src/main/kotlin/mintpick/workers/WorkerProtocol.kt
@@ -77,7 +77,7 @@
             WireJson.decodeFromString(MachineReport.serializer(), answer.text())
         } catch (e: IllegalArgumentException) {
             // The decoder's own exception is one of these, as is a value that a record refuses.
-            LOG.warn("worker answer malformed status={} bytes={}", answer.status, answer.body.size, e)
+            LOG.debug("worker answer malformed status={} bytes={}", answer.status, answer.body.size, e)
             null
         }
 }
--- a/src/test/kotlin/mintpick/net/HttpCallerTest.kt
+++ b/src/test/kotlin/mintpick/net/HttpCallerTest.kt
@@ -97,4 +97,24 @@
         assertEquals(Outcome.NotSent, call(gone))
         Server(2) { "SSH-2.0 what\r\n\r\n\r\n close" }.use { assertEquals(Outcome.Unanswered, call(it)) }
     }
+
+    @Test
+    fun `after the caller has stopped a call is not sent, and the connection that was kept is closed`() {
+        ServerSocket(0, 50, InetAddress.getLoopbackAddress()).use { socket ->
+            caller.start(1, Call(Target.Worker("127.0.0.1:${socket.localPort}"), "GET", "/inspect", timeoutUs = 5 * SECOND))
+            socket.accept().use { connection ->
+                connection.soTimeout = 5_000
+                val input = connection.getInputStream().bufferedReader()
+                while (input.readLine().isNotEmpty()) continue
+                connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".encodeToByteArray())
+                assertTrue(outcomes.take() is Outcome.Answered)
+                caller.stop()
+                // Closed at once, it may be reset; a time-out would say that it is still open.
+                val end = runCatching { input.read() }
+                assertTrue(end.getOrNull() == -1 || end.exceptionOrNull()?.message == "Connection reset", "$end")
+            }
+            caller.start(2, Call(Target.Worker("127.0.0.1:${socket.localPort}"), "GET", "/inspect", timeoutUs = 5 * SECOND))
+            assertEquals(Outcome.NotSent, outcomes.take())
+        }
+    }
 }
