--- a/src/test/kotlin/mintpick/differential/DifferentialTest.kt
+++ b/src/test/kotlin/mintpick/differential/DifferentialTest.kt
@@ -10,7 +10,7 @@
 import mintpick.testing.playRandomFaultDay
 import mintpick.upgrade.EngineVersion
 import mintpick.upgrade.RollingUpgrade
-import mintpick.upgrade.UPGRADE_LUCK
+import mintpick.upgrade.UPGRADE_FAULT_RATES
 import mintpick.upgrade.VersionedEngine
 import mintpick.upgrade.playUpgradeDay
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -21,6 +21,9 @@
 import java.util.SplittableRandom
 import java.util.concurrent.ForkJoinPool
 
+/** Makes a controller that draws from the random numbers it is given. */
+private typealias ControllerFactory = (SplittableRandom) -> SimulatedCluster.Controller
+
 /**
  * The engine of another commit and the present one get the same settings, seed and events, and must want the same done, byte by
  * byte. Not part of the ordinary run: `mvn test -Pdifferential -Dmintpick.base=COMMIT`.
@@ -29,16 +32,14 @@
 class DifferentialTest {
     private val base by lazy { EngineVersion.of(System.getProperty("mintpick.base").orEmpty()) }
 
-    /** The present engine, loaded as the other is: steps behind a loader of their own were a third dearer for equal code. */
+    /** The present engine, loaded as the other is: steps behind a loader of their own cost a third more for equal code. */
     private val loadedPresent by lazy { EngineVersion(Path.of("target/classes")) }
 
     private fun Comparison.compared(
         cluster: SimulatedCluster,
         node: SimulatedCluster.Node,
         toml: String,
-        present: (
-            SplittableRandom,
-        ) -> SimulatedCluster.Controller = { SimulatedCluster.Controller(Engine(node.settings, Operators(), it)::step) },
+        present: ControllerFactory = { SimulatedCluster.Controller(Engine(node.settings, Operators(), it)::step) },
     ): SimulatedCluster.Controller {
         val seed = cluster.random.nextLong()
         val earlier = VersionedEngine(base, toml, SplittableRandom(seed), baseCost)
@@ -46,8 +47,8 @@
     }
 
     /** The day's own breaches of rules are other tests' concern. */
-    private fun drawnDay(seed: Long): Comparison {
-        val comparison = Comparison("drawn day $seed")
+    private fun randomFaultDay(seed: Long): Comparison {
+        val comparison = Comparison("random fault day $seed")
         playRandomFaultDay(seed) { cluster ->
             cluster.controllerOf = { node -> comparison.compared(cluster, node, SampleJobs.toml(node.index)) }
         }
@@ -57,7 +58,10 @@
     private fun upgradeDay(seed: Long): Comparison {
         val comparison = Comparison("upgrade day $seed")
         val roll =
-            RollingUpgrade(seed, UPGRADE_LUCK) { cluster, node -> comparison.compared(cluster, node, RollingUpgrade.toml(node.index)) }
+            RollingUpgrade(
+                seed,
+                UPGRADE_FAULT_RATES,
+            ) { cluster, node -> comparison.compared(cluster, node, RollingUpgrade.toml(node.index)) }
         playUpgradeDay(seed, roll)
         return comparison
     }
@@ -92,7 +96,7 @@
                         (1L..DAYS)
                             .toList()
                             .parallelStream()
-                            .map(::drawnDay)
+                            .map(::randomFaultDay)
                             .toList()
                     }.get()
             } finally {
@@ -110,11 +114,8 @@
         val day = largeFleetDay()
         val earlier = day.baseCost.nanoseconds / NANOS_IN_MILLI
         val present = day.presentCost.nanoseconds / NANOS_IN_MILLI
-        println(
-            "differential: processor time of steps base_ms=$earlier present_ms=$present ratio=${"%.3f".format(
-                present.toDouble() / earlier,
-            )}",
-        )
+        val ratio = "%.3f".format(present.toDouble() / earlier)
+        println("differential: processor time of steps base_ms=$earlier present_ms=$present ratio=$ratio")
         assertSame(listOf(day))
     }
 
--- a/src/test/kotlin/mintpick/upgrade/RollingUpgrade.kt
+++ b/src/test/kotlin/mintpick/upgrade/RollingUpgrade.kt
@@ -71,7 +71,7 @@
 /** One exchange of all controllers under load, after which the limits fall and pipelines run; fails if a rule breaks. */
 internal fun playUpgradeDay(
     seed: Long,
-    roll: RollingUpgrade = RollingUpgrade(seed, UPGRADE_LUCK),
+    roll: RollingUpgrade = RollingUpgrade(seed, UPGRADE_FAULT_RATES),
 ) {
     val cluster = roll.cluster
     val earlier = cluster.beforehand()
@@ -101,4 +101,4 @@
 }
 
 /** The few losses and late packets of upgrade days. */
-internal val UPGRADE_LUCK = FaultRates(lost = 2, lostAnswer = 2, late = 3)
+internal val UPGRADE_FAULT_RATES = FaultRates(lost = 2, lostAnswer = 2, late = 3)
