--- a/src/main/kotlin/mintpick/cli/Service.kt
+++ b/src/main/kotlin/mintpick/cli/Service.kt
@@ -49,7 +49,7 @@
      * @throws java.io.IOException if an address can't be bound; what was opened until then is closed by [close]
      */
     fun start() {
-        meshServer.start(routes.mesh)
+        meshServer.start(routes.peerApi)
         apiServer.start(routes.api)
         overdueCheck.start()
     }
@@ -73,7 +73,7 @@
     private fun checkOverdue() {
         try {
             while (true) {
-                routes.giveUpLate()
+                routes.expireOverdueRequests()
                 Thread.sleep(OVERDUE_CHECK_MS)
             }
         } catch (_: InterruptedException) {
--- a/src/main/kotlin/mintpick/dependencies/CriticalPaths.kt
+++ b/src/main/kotlin/mintpick/dependencies/CriticalPaths.kt
@@ -13,12 +13,12 @@
 )
 
 /** What its own specification demands of one job. */
-data class JobDemand(
+data class JobRequirements(
     val priority: Priority,
     /** When it has to be done, on the clock of deadlines; null: no deadline. */
-    val dueUs: Micros?,
+    val deadlineUs: Micros?,
     /** How long its tasks are expected to run. */
-    val runUs: Micros,
+    val expectedRunUs: Micros,
 )
 
 /**
@@ -28,16 +28,16 @@
 class CriticalPaths(
     private val graph: DependencyGraph,
     /** The demand of a job; null if nothing is known of it. */
-    private val demandOf: (JobId) -> JobDemand?,
+    private val requirementsOf: (JobId) -> JobRequirements?,
 ) {
     private val urgencies = HashMap<JobId, Urgency?>()
-    private var cachedEpoch = -1L
+    private var cachedVersion = -1L
 
     /** How urgent [job] is; null if nothing is known of it. */
     fun urgency(job: JobId): Urgency? {
-        if (cachedEpoch != graph.epoch) {
+        if (cachedVersion != graph.version) {
             urgencies.clear()
-            cachedEpoch = graph.epoch
+            cachedVersion = graph.version
         }
         if (job !in urgencies) computeWithSuccessors(job)
         return urgencies[job]
@@ -59,10 +59,10 @@
     }
 
     private fun combine(job: JobId): Urgency? {
-        val own = demandOf(job) ?: return null
+        val own = requirementsOf(job) ?: return null
         val successors = graph.successors(job).mapNotNull { urgencies[it] }
-        val dueUs = (successors.mapNotNull { it.latestStartUs } + listOfNotNull(own.dueUs)).minOrNull()
+        val latestEndUs = (successors.mapNotNull { it.latestStartUs } + listOfNotNull(own.deadlineUs)).minOrNull()
         val priority = (successors.map { it.priority } + own.priority).min()
-        return Urgency(priority, dueUs?.let { it - own.runUs })
+        return Urgency(priority, latestEndUs?.let { it - own.expectedRunUs })
     }
 }
--- a/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
@@ -23,7 +23,7 @@
     RELEASED,
 
     /** A predecessor, direct or indirect, is cancelled: it never runs. */
-    WITHDRAWN,
+    CANCELLED,
 }
 
 /**
@@ -37,7 +37,7 @@
 class DependencyGraph {
     private class Node(
         val predecessors: Set<JobId>,
-        val unfinished: HashSet<JobId>,
+        val unfinishedPredecessors: HashSet<JobId>,
         var readiness: Readiness,
     )
 
@@ -45,7 +45,7 @@
     private val successors = HashMap<JobId, LinkedHashSet<JobId>>()
 
     /** Increases with every change of the edges. */
-    var epoch = 0L
+    var version = 0L
         private set
 
     /** How many jobs wait for others. */
@@ -73,21 +73,21 @@
         nodes[job]?.let { return it.readiness }
         if (predecessors.isEmpty()) return Readiness.RELEASED
         val states = predecessors.associateWith(stateOf)
-        val unfinished = states.filterValues { it == PredecessorState.PENDING }.keys
+        val unfinishedPredecessors = states.filterValues { it == PredecessorState.PENDING }.keys
         val readiness =
             when {
-                states.containsValue(PredecessorState.CANCELLED) -> Readiness.WITHDRAWN
-                unfinished.isEmpty() -> Readiness.RELEASED
+                states.containsValue(PredecessorState.CANCELLED) -> Readiness.CANCELLED
+                unfinishedPredecessors.isEmpty() -> Readiness.RELEASED
                 else -> Readiness.WAITING
             }
-        nodes[job] = Node(predecessors.toSet(), HashSet(unfinished), readiness)
+        nodes[job] = Node(predecessors.toSet(), HashSet(unfinishedPredecessors), readiness)
         predecessors.forEach { successors.getOrPut(it) { LinkedHashSet() } += job }
         if (readiness == Readiness.WAITING) waitingCount++
-        epoch++
+        version++
         return readiness
     }
 
-    /** Removes a job that is over. What follows for its successors is the matter of [done] or [cancelled]. */
+    /** Removes a job that is over. What follows for its successors is the matter of [markDone] or [markCancelled]. */
     fun remove(job: JobId) {
         val node = nodes.remove(job) ?: return
         if (node.readiness == Readiness.WAITING) waitingCount--
@@ -96,16 +96,16 @@
             others -= job
             if (others.isEmpty()) successors -= predecessor
         }
-        epoch++
+        version++
     }
 
     /** [job] is done. Returns the jobs that are released by that: it was the last predecessor that they waited for. */
-    fun done(job: JobId): List<JobId> {
+    fun markDone(job: JobId): List<JobId> {
         val released = ArrayList<JobId>()
         for (successor in successors(job)) {
             val node = nodes[successor] ?: continue
-            val wasUnfinished = node.unfinished.remove(job)
-            val isLast = wasUnfinished && node.unfinished.isEmpty()
+            val wasUnfinished = node.unfinishedPredecessors.remove(job)
+            val isLast = wasUnfinished && node.unfinishedPredecessors.isEmpty()
             if (!isLast || node.readiness != Readiness.WAITING) continue
             node.readiness = Readiness.RELEASED
             waitingCount--
@@ -115,18 +115,18 @@
     }
 
     /** [job] is cancelled. Returns all jobs that are withdrawn with it, at any depth. */
-    fun cancelled(job: JobId): List<JobId> {
-        val withdrawn = ArrayList<JobId>()
+    fun markCancelled(job: JobId): List<JobId> {
+        val cancelled = ArrayList<JobId>()
         val queue = ArrayDeque(successors(job))
         while (queue.isNotEmpty()) {
             val successor = queue.removeFirst()
             val node = nodes[successor] ?: continue
             if (node.readiness != Readiness.WAITING) continue
-            node.readiness = Readiness.WITHDRAWN
+            node.readiness = Readiness.CANCELLED
             waitingCount--
-            withdrawn += successor
+            cancelled += successor
             queue += successors(successor)
         }
-        return withdrawn
+        return cancelled
     }
 }
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -23,29 +23,29 @@
 import mintpick.engine.capacity.ScaleOut
 import mintpick.engine.capacity.UnresponsiveMachines
 import mintpick.engine.jobs.JobAnswers
-import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.jobs.JobUrgency
 import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.jobs.RecordSweeper
 import mintpick.engine.jobs.SubmissionValidator
-import mintpick.engine.jobs.UserRequests
-import mintpick.engine.membership.ClusterContact
+import mintpick.engine.jobs.UserRequestHandler
+import mintpick.engine.membership.ClusterConnectivity
 import mintpick.engine.membership.ControllerHealth
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.Effect
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.runtime.Event
 import mintpick.engine.runtime.ReplyTo
-import mintpick.engine.scheduling.ControllerSelection
-import mintpick.engine.scheduling.FaultyJobs
+import mintpick.engine.scheduling.CandidateFinder
+import mintpick.engine.scheduling.FaultyJobThrottle
 import mintpick.engine.scheduling.JobPlacer
 import mintpick.engine.scheduling.JobQueue
-import mintpick.engine.scheduling.MachineCandidates
+import mintpick.engine.scheduling.PlacementScopePolicy
 import mintpick.engine.scheduling.PreemptionPlanner
 import mintpick.engine.scheduling.Scheduler
 import mintpick.engine.scheduling.UsageAccounting
 import mintpick.engine.scheduling.UsageSummaryStore
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.engine.transactions.TransactionLimits
 import mintpick.net.Answer
@@ -64,9 +64,9 @@
     random: RandomGenerator,
 ) {
     private val context = EngineContext(settings, random)
-    private val formats = FormatGate(context)
+    private val formats = RecordFormatNegotiator(context)
     private val stateStore = StateStoreClient(context, formats)
-    private val shardClaims = ShardClaims(context, stateStore, Contact())
+    private val shardClaims = ShardClaims(context, stateStore, Connectivity())
     private val health = ControllerHealth(context, stateStore)
     private val commandPlanner = CommandPlanner(context, health)
     private val agents = AgentRegistry(context, stateStore, shardClaims, health, commandPlanner)
@@ -76,13 +76,13 @@
     private val preemptionPlanner = PreemptionPlanner(context, shardClaims, agents, commandPlanner, usageAccounting, operators)
     private val jobUrgency = JobUrgency(context)
     private val jobQueue = JobQueue(context, usageAccounting, jobUrgency, operators.sizeHandicap)
-    private val controllerSelection = ControllerSelection(context, shardClaims, health)
-    private val machineCandidates = MachineCandidates(context, shardClaims, agents, commandPlanner, reconciler, health)
-    private val faultyJobs = FaultyJobs(context, shardClaims, reconciler, health)
+    private val placementScopePolicy = PlacementScopePolicy(context, shardClaims, health)
+    private val candidateFinder = CandidateFinder(context, shardClaims, agents, commandPlanner, reconciler, health)
+    private val faultyJobThrottle = FaultyJobThrottle(context, shardClaims, reconciler, health)
     private val jobPlacer =
-        JobPlacer(context, shardClaims, agents, reconciler, machineCandidates, jobUrgency, operators.placementSample)
+        JobPlacer(context, shardClaims, agents, reconciler, candidateFinder, jobUrgency, operators.placementSample)
     private val scheduler =
-        Scheduler(context, jobQueue, controllerSelection, machineCandidates, faultyJobs, jobPlacer, preemptionPlanner)
+        Scheduler(context, jobQueue, placementScopePolicy, candidateFinder, faultyJobThrottle, jobPlacer, preemptionPlanner)
     private val cloudClient = CloudClient(context)
     private val machineTypes = MachineTypeCatalog(context, stateStore, shardClaims, formats, cloudClient)
     private val cloudInventory = CloudInventory(context, stateStore, shardClaims, agents, reconciler, cloudClient, machineTypes)
@@ -99,8 +99,8 @@
     private val jobAnswers = JobAnswers(context, stateStore)
     private val pendingRequests = PendingRequests(context, stateStore, jobAnswers)
     private val submissionValidator = SubmissionValidator(context, formats, transactionLimits)
-    private val userRequests = UserRequests(context, stateStore, pendingRequests, submissionValidator, jobAnswers)
-    private val jobUpdates = JobUpdates(context, stateStore, pendingRequests, commandPlanner, formats, transactionLimits)
+    private val userRequests = UserRequestHandler(context, stateStore, pendingRequests, submissionValidator, jobAnswers)
+    private val jobUpdates = JobUpdateWriter(context, stateStore, pendingRequests, commandPlanner, formats, transactionLimits)
     private val machineMonitor =
         MachineMonitor(
             context,
@@ -118,9 +118,9 @@
     private var lastStepUs: Micros = 0
 
     /** Asked in later steps only, when all parts of the engine exist. */
-    private inner class Contact : ClusterContact {
-        override val hearsAllPeers: Boolean get() = health.heardAllSince(context.now - IN_TOUCH)
-        override val reachesAgents: Boolean get() = !agents.isCutOff
+    private inner class Connectivity : ClusterConnectivity {
+        override val hasHintsFromAllPeers: Boolean get() = health.hasHintsFromAllSince(context.now - MAX_HINT_AGE)
+        override val canReachAgents: Boolean get() = !agents.isIsolatedFromAgents
     }
 
     /** Whether `/up` says that requests may come here, as of the last step. */
@@ -130,32 +130,32 @@
      * Takes [events] in their order and does what time calls for.
      *
      * @param now the steady clock in microseconds, never less than in the step before
-     * @param wall the time of day in microseconds since 1970, within the settings' bound of the true time
+     * @param wallClockUs the time of day in microseconds since 1970, within the settings' bound of the true time
      * @return answers to send and calls to start, in this order
      */
     fun step(
         now: Micros,
-        wall: Micros,
+        wallClockUs: Micros,
         events: List<Event>,
     ): List<Effect> {
-        context.begin(now, wall)
+        context.startStep(now, wallClockUs)
         detectProcessPause()
-        events.forEach(::handleIsolated)
-        keepMembership()
+        events.forEach(::handleSafely)
+        updateMembership()
         planCapacity()
-        driveAgents()
+        updateAgents()
         updateCycle.tick()
         userRequests.tick()
         hintExchange.tick(scheduler.lacksCapacity)
         return context.takeEffects()
     }
 
-    private fun keepMembership() {
+    private fun updateMembership() {
         stateStore.tick()
         formats.tick()
         health.tick()
         shardClaims.tick()
-        agents.refreshControl()
+        agents.updateControlledMachines()
     }
 
     private fun planCapacity() {
@@ -167,12 +167,12 @@
         sweeper.tick()
     }
 
-    private fun driveAgents() {
+    private fun updateAgents() {
         val touched = context.cache.changedMachines.toSet()
         context.cache.changedMachines.clear()
         agents.tick(touched)
         preemptionPlanner.tick(touched)
-        reconciler.reconcile(touched + agents.takeMachinesHeard())
+        reconciler.reconcile(touched + agents.takeUpdatedMachines())
     }
 
     /**
@@ -190,7 +190,7 @@
     }
 
     /** A defect met by one event must not cost the others, outcomes of calls that somebody waits for among them. */
-    private fun handleIsolated(event: Event) {
+    private fun handleSafely(event: Event) {
         try {
             handle(event)
         } catch (e: RuntimeException) {
@@ -201,12 +201,12 @@
     private fun handle(event: Event) {
         when (event) {
             is Event.Submit -> userRequests.submit(event.spec, event.reply)
-            is Event.Malformed -> userRequests.malformed(event.id, event.reason, event.reply)
+            is Event.Malformed -> userRequests.rejectMalformed(event.id, event.reason, event.reply)
             is Event.Poll -> userRequests.poll(event.id, event.reply)
             is Event.Cancel -> userRequests.cancel(event.id, event.reply)
             is Event.Report -> agents.onHeartbeat(event.report, event.reply)
             is Event.Hint -> context.send(event.reply, hintExchange.answer(event.hint, scheduler.lacksCapacity))
-            is Event.Inspect -> sendStatus(event.reply)
+            is Event.StatusRequest -> sendStatus(event.reply)
             is Event.CallDone -> context.callDone(event.id, event.outcome)
         }
     }
@@ -224,6 +224,6 @@
         const val PROCESS_PAUSE: Micros = 2_000 * MILLI
 
         /** Within this time every peer must have been heard for shards to go back to their preferred controllers. */
-        const val IN_TOUCH: Micros = 3_000 * MILLI
+        const val MAX_HINT_AGE: Micros = 3_000 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/EventLoop.kt
+++ b/src/main/kotlin/mintpick/engine/EventLoop.kt
@@ -14,20 +14,20 @@
 /**
  * The thread that owns the engine: it drains the event queue in batches, steps the engine and carries out its effects.
  *
- * @param start starts a call; its outcome comes back through [put]
- * @param steadyUs the steady clock, in microseconds
- * @param wallUs the time of day, in microseconds since 1970
+ * @param startCall starts a call; its outcome comes back through [put]
+ * @param monotonicUs the steady clock, in microseconds
+ * @param wallClockUs the time of day, in microseconds since 1970
  */
 class EventLoop(
     private val engine: Engine,
-    private val start: (id: Long, call: Call) -> Unit,
-    private val steadyUs: () -> Micros,
-    private val wallUs: () -> Micros,
+    private val startCall: (id: Long, call: Call) -> Unit,
+    private val monotonicUs: () -> Micros,
+    private val wallClockUs: () -> Micros,
 ) {
     private val queue = ArrayBlockingQueue<Event>(QUEUE_CAPACITY)
 
     /** Outcomes of calls that were not made; the event loop must not wait for room in its own queue. */
-    private val unsentCalls = ArrayList<Event>()
+    private val notSentOutcomes = ArrayList<Event>()
 
     @Volatile private var isEngineUp = false
 
@@ -40,7 +40,7 @@
     fun put(event: Event) = queue.put(event)
 
     /** Whether requests should come here; an event loop that is paused or falls far behind takes none. Any thread. */
-    fun isUp(): Boolean = isEngineUp && steadyUs() - lastStepUs < STALLED
+    fun isUp(): Boolean = isEngineUp && monotonicUs() - lastStepUs < MAX_STEP_GAP
 
     /** Runs until the thread is interrupted. */
     fun run() {
@@ -58,10 +58,10 @@
 
     private fun fill(batch: MutableList<Event>) {
         batch.clear()
-        queue.poll(MAX_IDLE, TimeUnit.MICROSECONDS)?.let(batch::add)
+        queue.poll(MAX_POLL_WAIT, TimeUnit.MICROSECONDS)?.let(batch::add)
         queue.drainTo(batch, MAX_BATCH)
-        batch += unsentCalls
-        unsentCalls.clear()
+        batch += notSentOutcomes
+        notSentOutcomes.clear()
     }
 
     /** One bad step must not end the service: what was lost is read again or asked again. */
@@ -74,9 +74,9 @@
     }
 
     private fun step(batch: List<Event>) {
-        val now = steadyUs()
-        for (effect in engine.step(now, wallUs(), batch)) {
-            if (steadyUs() - now > STALE_STEP) refuse(effect) else perform(effect)
+        val now = monotonicUs()
+        for (effect in engine.step(now, wallClockUs(), batch)) {
+            if (monotonicUs() - now > MAX_STEP_AGE) refuse(effect) else perform(effect)
         }
         isEngineUp = engine.isUp
         lastStepUs = now
@@ -89,14 +89,14 @@
     private fun refuse(effect: Effect) {
         when (effect) {
             is Effect.Send -> effect.reply.answer(errorAnswer(UNAVAILABLE, "stood still", RETRY_AFTER_S))
-            is Effect.Start -> unsentCalls += Event.CallDone(effect.id, Outcome.NotSent)
+            is Effect.Start -> notSentOutcomes += Event.CallDone(effect.id, Outcome.NotSent)
         }
     }
 
     private fun perform(effect: Effect) {
         when (effect) {
             is Effect.Send -> effect.reply.answer(effect.answer)
-            is Effect.Start -> start(effect.id, effect.call)
+            is Effect.Start -> startCall(effect.id, effect.call)
         }
     }
 
@@ -104,8 +104,8 @@
         val LOG = LoggerFactory.getLogger(EventLoop::class.java)
         const val QUEUE_CAPACITY = 4096
         const val MAX_BATCH = 256
-        const val STALLED: Micros = 2_000 * MILLI
-        const val MAX_IDLE: Micros = 50 * MILLI
+        const val MAX_STEP_GAP: Micros = 2_000 * MILLI
+        const val MAX_POLL_WAIT: Micros = 50 * MILLI
         const val UNAVAILABLE = 503
         const val RETRY_AFTER_S = 1
 
@@ -113,6 +113,6 @@
          * A step acts only if the state store has served us within 2.5 s: with this the lease of 5 s still holds. Far above
          * what a step takes when the processor is short.
          */
-        const val STALE_STEP: Micros = 2_000 * MILLI
+        const val MAX_STEP_AGE: Micros = 2_000 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
@@ -4,7 +4,7 @@
 import mintpick.core.MILLI
 import mintpick.core.Micros
 import mintpick.engine.agents.Reconciler
-import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
@@ -24,7 +24,7 @@
     private val reconciler: Reconciler,
     private val scheduler: Scheduler,
     private val pendingRequests: PendingRequests,
-    private val jobUpdates: JobUpdates,
+    private val jobUpdates: JobUpdateWriter,
 ) {
     private var nextCycleUs: Micros = 0
 
@@ -38,13 +38,13 @@
         reconciler.jobsToWrite().forEach { draftOf(it) }
         draftFinalRecords(draftOf)
         if (stateStore.isReachable) scheduler.schedule(jobUpdates, drafts, draftOf)
-        if (jobUpdates.commit(drafts.values, scheduler.lacksWrites)) scheduler.onPlacementsNotWritten()
+        if (jobUpdates.commit(drafts.values, scheduler.lacksWriteBudget)) scheduler.onPlacementsNotWritten()
     }
 
     /** A draft that holds all that is proven of the job; null if it is unknown or a transaction with it is under way. */
     private fun newDraft(id: JobId): JobUpdate? {
         val job = context.cache.job(id) ?: return null
-        if (!jobUpdates.isFree(id)) return null
+        if (!jobUpdates.isAvailable(id)) return null
         return JobUpdate(job, jobUpdates.limits).also(reconciler::apply)
     }
 
--- a/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
+++ b/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
@@ -28,10 +28,10 @@
     private val reconciler: Reconciler,
     private val commandPlanner: CommandPlanner,
 ) {
-    /** Reachable machines that take work, with the age of their last heartbeat; image names are collected in [imageNumbers]. */
-    fun of(imageNumbers: MutableMap<String, Int>): List<MachineHint> =
+    /** Reachable machines that take work, with the age of their last heartbeat; image names are collected in [imageIndexes]. */
+    fun collect(imageIndexes: MutableMap<String, Int>): List<MachineHint> =
         usableMachines().map { view ->
-            val images = view.imageNames.map { imageNumbers.getOrPut(it) { imageNumbers.size } }
+            val images = view.imageNames.map { imageIndexes.getOrPut(it) { imageIndexes.size } }
             MachineHint(view.id.text, context.now - view.reportedUs, images)
         }
 
@@ -41,7 +41,7 @@
                 context.now - view.reportedUs < context.settings.reportUs * 2 &&
                 !reconciler.failures.isFaulty(view.id) &&
                 !agents.isUnreachable(view.id) &&
-                !commandPlanner.isDraining(view, shardClaims.control(view.id))
+                !commandPlanner.isDraining(view, shardClaims.controlClaim(view.id))
         }
 }
 
@@ -57,16 +57,16 @@
     private val machineHints: MachineHints,
 ) {
     private var nextHintUs: Micros = 0
-    private var hintsSent = 0
-    private var announcedLackOfCapacity = false
+    private var hintRounds = 0
+    private var wasShortageAnnounced = false
 
     /** Sends a hint to every peer once a second, and earlier when [lacksCapacity] has just become true: a peer may have room. */
     fun tick(lacksCapacity: Boolean) {
-        val isNews = lacksCapacity && !announcedLackOfCapacity && context.now >= nextHintUs - HINT_INTERVAL + HINT_MIN_INTERVAL
-        if (context.now < nextHintUs && !isNews) return
+        val isNewShortage = lacksCapacity && !wasShortageAnnounced && context.now >= nextHintUs - HINT_INTERVAL + HINT_MIN_INTERVAL
+        if (context.now < nextHintUs && !isNewShortage) return
         nextHintUs = context.now + HINT_INTERVAL
-        announcedLackOfCapacity = lacksCapacity
-        val body = encode(hint(lacksCapacity, listsMachines = hintsSent++ % 2 == 0))
+        wasShortageAnnounced = lacksCapacity
+        val body = encode(hint(lacksCapacity, listsMachines = hintRounds++ % 2 == 0))
         context.settings.peers.forEach { send(NodeId(it.node), it.address.toString(), body) }
     }
 
@@ -87,8 +87,8 @@
         val sentUs = context.now
         context.call(Call(Target.Peer(address), "POST", "/hint", body, HINT_TIMEOUT, PROTOBUF)) { outcome ->
             if (outcome is Outcome.Answered && outcome.status == OK) {
-                health.answeredBy(peer, sentUs)
-                decodeHint(outcome.body)?.let { health.onAnsweredHint(it, sentUs) }
+                health.onHintAcknowledged(peer, sentUs)
+                decodeHint(outcome.body)?.let { health.onHintAnswer(it, sentUs) }
             }
         }
     }
@@ -100,8 +100,8 @@
         lacksCapacity: Boolean,
         listsMachines: Boolean,
     ): PeerHint {
-        val imageNumbers = LinkedHashMap<String, Int>()
-        val machines = if (listsMachines) machineHints.of(imageNumbers) else emptyList()
+        val imageIndexes = LinkedHashMap<String, Int>()
+        val machines = if (listsMachines) machineHints.collect(imageIndexes) else emptyList()
         val stateAgeUs = stateStore.lastServedUs?.takeIf { stateStore.isServing }?.let { context.now - it }
         return PeerHint(
             context.settings.node,
@@ -110,7 +110,7 @@
             context.cache.revision,
             listsMachines,
             lacksCapacity,
-            imageNumbers.keys.toList(),
+            imageIndexes.keys.toList(),
             context.cache.cancelledJobs(),
             cancelledIsComplete = stateStore.hasLoaded,
             faultyJobs = reconciler.failures.faultyJobs().map { it.text },
--- a/src/main/kotlin/mintpick/engine/StatusReporter.kt
+++ b/src/main/kotlin/mintpick/engine/StatusReporter.kt
@@ -1,11 +1,11 @@
 package mintpick.engine
 
-import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.jobs.PendingRequests
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.scheduling.UsageAccounting
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.wire.NodeStatus
 import mintpick.wire.StatusLimits
@@ -15,9 +15,9 @@
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val shardClaims: ShardClaims,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val pendingRequests: PendingRequests,
-    private val jobUpdates: JobUpdates,
+    private val jobUpdates: JobUpdateWriter,
     private val usageAccounting: UsageAccounting,
 ) {
     /** The state as of the current step. */
@@ -36,7 +36,7 @@
             pendingSubmissions = pendingRequests.submissions.size,
             pendingCancellations = pendingRequests.cancellations.size,
             revision = cache.revision,
-            use = context.settings.teams.associate { it.name to usageAccounting.use(it.name) },
+            use = context.settings.teams.associate { it.name to usageAccounting.usageOf(it.name) },
             stateLatencyMs = stateStore.latencyMs(),
             waitingForPredecessors = cache.dependencies.waitingCount,
             withdrawnJobs = cache.finalizableJobs().count { !it.isReleased },
@@ -63,8 +63,8 @@
         StatusLimits(
             context.settings.limits.writeRps,
             context.settings.limits.rps,
-            formats.valueBytes.toInt(),
-            jobUpdates.limits.changes,
-            jobUpdates.limits.guards,
+            formats.maxValueBytes.toInt(),
+            jobUpdates.limits.maxChanges,
+            jobUpdates.limits.maxGuards,
         )
 }
--- a/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
@@ -37,13 +37,13 @@
     /** A map of its own, since its iteration order decides in which order machines are confirmed, probed and given tasks. */
     private val controlPeriods = HashMap<MachineId, ControlPeriod>()
     private val tombstones = HashSet<MachineId>()
-    private val heardMachines = HashSet<MachineId>()
+    private val updatedMachines = HashSet<MachineId>()
 
     /** Attempts whose first sight was logged: kept while debug logging is on, and for nothing else. */
     private val loggedAttempts = HashSet<AttemptId>()
-    private var seenControlEpoch = -1L
-    private var seenLease: Long? = null
-    private var processPausedUs: Micros = 0
+    private var lastControlEpoch = -1L
+    private var lastLease: Long? = null
+    private var pauseEndedUs: Micros = 0
 
     private val cache get() = context.cache
 
@@ -56,11 +56,11 @@
     /** The views of all machines, those of other controllers included. */
     fun views(): Collection<MachineView> = viewsByMachine.values
 
-    /** Machines under this controller's control, as of the last [refreshControl]. */
-    val controlled: Set<MachineId> get() = controlPeriods.keys
+    /** Machines under this controller's control, as of the last [updateControlledMachines]. */
+    val controlledMachines: Set<MachineId> get() = controlPeriods.keys
 
     /** Machines whose status has come since the last call. */
-    fun takeHeard(): Set<MachineId> = heardMachines.toSet().also { heardMachines.clear() }
+    fun takeUpdatedMachines(): Set<MachineId> = updatedMachines.toSet().also { updatedMachines.clear() }
 
     /** Whether [machine] has a tombstone. */
     fun isTerminated(machine: MachineId): Boolean = machine in tombstones
@@ -77,7 +77,7 @@
 
     /** Notes the process pause that has just ended: silence during it says nothing of the machines. */
     fun onProcessPause() {
-        processPausedUs = context.now
+        pauseEndedUs = context.now
     }
 
     /** Takes in the tasks and images that the newest status of a machine, [report], shows. */
@@ -85,12 +85,12 @@
         view: MachineView,
         report: MachineReport,
     ) {
-        heardMachines += view.id
-        val cacheGb = cache.types[report.type]?.cacheGb ?: 0.0
-        for ((attempt, task) in view.reported) noteTask(view, attempt, task, cacheGb)
+        updatedMachines += view.id
+        val cacheGb = cache.machineTypes[report.type]?.cacheGb ?: 0.0
+        for ((attempt, task) in view.reported) recordTask(view, attempt, task, cacheGb)
     }
 
-    private fun noteTask(
+    private fun recordTask(
         view: MachineView,
         attempt: AttemptId,
         task: TaskReport,
@@ -99,29 +99,29 @@
         if (task.state == TaskState.FETCHING || task.state == TaskState.EXITED) return
         val job = cache.job(attempt.task.job) ?: return
         if (LOG.isDebugEnabled && loggedAttempts.add(attempt)) {
-            val waitedMs = (context.wall - job.submittedUs) / MILLI
+            val waitedMs = (context.wallClockUs - job.submittedUs) / MILLI
             LOG.debug("running task={} attempt={} machine={} waited_ms={}", attempt.task, attempt.attempt, view.id.text, waitedMs)
         }
         view.recordImage(job.spec.image, job.spec.imageGb, cacheGb)
     }
 
     /** Whether the last status is recent enough for the machine to be given work. */
-    fun isFresh(view: MachineView): Boolean = context.now - view.heardUs < heartbeatDueUs + FRESH_MARGIN
+    fun isFresh(view: MachineView): Boolean = context.now - view.heardUs < maxHeartbeatIntervalUs + FRESH_MARGIN
 
     /** Whether neither a heartbeat nor an answer to a call has come when a heartbeat was overdue. */
-    fun isSilent(view: MachineView): Boolean = context.now - view.heardUs > heartbeatDueUs + OVERDUE_MARGIN
+    fun isUnresponsive(view: MachineView): Boolean = context.now - view.heardUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
 
     /** Whether the next heartbeat is overdue, whatever answers to calls came. */
-    fun isHeartbeatOverdue(view: MachineView): Boolean = context.now - view.reportedUs > heartbeatDueUs + OVERDUE_MARGIN
+    fun isHeartbeatOverdue(view: MachineView): Boolean = context.now - view.reportedUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
 
-    private val heartbeatDueUs: Micros get() = context.settings.reportUs * 5 / 4
+    private val maxHeartbeatIntervalUs: Micros get() = context.settings.reportUs * 5 / 4
 
     /**
      * Whether the agent has shown the fencing token of this controller's claim, so that its status is newer than the claim.
      * Heartbeats alone prove no more than that somebody sent them once: copies may arrive much later.
      */
     fun isConfirmed(view: MachineView): Boolean {
-        val claim = shardClaims.control(view.id) ?: return false
+        val claim = shardClaims.controlClaim(view.id) ?: return false
         return shardClaims.isOwn(claim) && view.latest != null && view.token >= claim.version
     }
 
@@ -129,27 +129,27 @@
      * Since when [machine] has been silent towards this controller although under its control: a machine that has just come
      * under our control sent its heartbeats elsewhere until now.
      */
-    fun silentSince(machine: MachineId): Micros {
+    fun noContactSince(machine: MachineId): Micros {
         val heardUs = viewsByMachine[machine]?.heardUs ?: 0
         val controlledSinceUs = controlPeriods[machine]?.sinceUs ?: context.now
-        return maxOf(heardUs, controlledSinceUs, processPausedUs)
+        return maxOf(heardUs, controlledSinceUs, pauseEndedUs)
     }
 
     /** Whether [machine] came under control a moment ago and is not yet confirmed, or the records are older than its claim. */
-    fun isSettling(machine: MachineId): Boolean {
-        val claim = shardClaims.control(machine) ?: return false
+    fun isAwaitingConfirmation(machine: MachineId): Boolean {
+        val claim = shardClaims.controlClaim(machine) ?: return false
         val controlledSinceUs = controlPeriods[machine]?.sinceUs ?: context.now
-        if (context.now - controlledSinceUs > SETTLING_SPAN) return false
+        if (context.now - controlledSinceUs > CONFIRMATION_GRACE_PERIOD) return false
         return cache.revision < claim.version || (viewsByMachine[machine]?.token ?: 0) < claim.version
     }
 
     /** Whether the agent's lease has surely expired, so that it has killed its tasks: nobody can have renewed the lease. */
-    fun hasLapsed(view: MachineView): Boolean {
+    fun hasLeaseExpired(view: MachineView): Boolean {
         val period = controlPeriods[view.id] ?: return false
         if (!shardClaims.controls(view.id)) return false
         if (!view.hasLeaseExpired(context.now, period.sinceUs, period.firstToken, context.settings.leaseUs)) return false
         // Another controller in its zone may have answered its heartbeats on our behalf.
-        val answeredOnBehalfUntilUs = health.answeredOnBehalfUntil(cache.machines[view.id]?.record?.zone) ?: return false
+        val answeredOnBehalfUntilUs = health.peerRenewalsUntil(cache.machines[view.id]?.record?.zone) ?: return false
         return MachineView.isLeaseExpired(context.now, answeredOnBehalfUntilUs, context.settings.leaseUs)
     }
 
@@ -158,13 +158,13 @@
      * seen before any machine is judged: a machine that had just come back under our control was once given up for calls
      * that had failed before we lost it.
      */
-    fun refreshControl(): ControlRefresh {
-        if (cache.controlEpoch == seenControlEpoch && stateStore.lease == seenLease) return ControlRefresh.Unchanged
-        seenControlEpoch = cache.controlEpoch
-        seenLease = stateStore.lease
+    fun updateControlledMachines(): ControlUpdate {
+        if (cache.controlEpoch == lastControlEpoch && stateStore.lease == lastLease) return ControlUpdate.Unchanged
+        lastControlEpoch = cache.controlEpoch
+        lastLease = stateStore.lease
         val acquired = ArrayList<MachineId>()
         for (known in cache.machines.values) {
-            val claim = shardClaims.control(known.id)
+            val claim = shardClaims.controlClaim(known.id)
             if (!shardClaims.isOwn(claim)) {
                 controlPeriods.remove(known.id)
             } else if (known.id !in controlPeriods) {
@@ -173,7 +173,7 @@
             }
         }
         controlPeriods.keys.retainAll(cache.machines.keys)
-        return ControlRefresh.Refreshed(acquired)
+        return ControlUpdate.Changed(acquired)
     }
 
     companion object {
@@ -186,17 +186,17 @@
         private const val OVERDUE_MARGIN: Micros = 600 * MILLI
 
         /** How long a machine that has come under control may take to be confirmed before it counts like any other. */
-        private const val SETTLING_SPAN: Micros = 2 * SECOND
+        private const val CONFIRMATION_GRACE_PERIOD: Micros = 2 * SECOND
     }
 }
 
 /** What a check for changes of control has found. */
-internal sealed interface ControlRefresh {
+internal sealed interface ControlUpdate {
     /** No claim, borrowing, lease or listed machine has changed. */
-    data object Unchanged : ControlRefresh
+    data object Unchanged : ControlUpdate
 
     /** The set was worked out anew; [acquired] came under this controller's control. */
-    class Refreshed(
+    class Changed(
         val acquired: List<MachineId>,
-    ) : ControlRefresh
+    ) : ControlUpdate
 }
--- a/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
@@ -35,10 +35,10 @@
     fun views(): Collection<MachineView> = index.views()
 
     /** Machines under this controller's control. */
-    val controlled: Set<MachineId> get() = index.controlled
+    val controlledMachines: Set<MachineId> get() = index.controlledMachines
 
     /** Machines whose status has come since the last call. */
-    fun takeMachinesHeard(): Set<MachineId> = index.takeHeard()
+    fun takeUpdatedMachines(): Set<MachineId> = index.takeUpdatedMachines()
 
     /** Whether the last status is recent enough for the machine to be given work. */
     fun isFresh(view: MachineView): Boolean = index.isFresh(view)
@@ -47,13 +47,13 @@
     fun isConfirmed(view: MachineView): Boolean = index.isConfirmed(view)
 
     /** Whether [machine] came under control a moment ago and is not yet confirmed, or the records are older than its claim. */
-    fun isAcquiring(machine: MachineId): Boolean = index.isSettling(machine)
+    fun isAwaitingConfirmation(machine: MachineId): Boolean = index.isAwaitingConfirmation(machine)
 
     /** Whether the agent's lease has surely expired, so that it has killed its tasks. */
-    fun hasLeaseExpired(view: MachineView): Boolean = index.hasLapsed(view)
+    fun hasLeaseExpired(view: MachineView): Boolean = index.hasLeaseExpired(view)
 
     /** Since when [machine] has been silent towards this controller although under its control. */
-    fun silentSince(machine: MachineId): Micros = index.silentSince(machine)
+    fun noContactSince(machine: MachineId): Micros = index.noContactSince(machine)
 
     /** Whether a call to [machine] has failed and none has got through since; its heartbeats may still come. */
     fun isUnreachable(machine: MachineId): Boolean = reachability.isUnreachable(machine)
@@ -65,10 +65,10 @@
     fun failedCalls(machine: MachineId): Int = reachability.failedCalls(machine)
 
     /** When a call last got through to a machine in [zone], or a heartbeat from there to us; 0: never. */
-    fun reachedIn(zone: String?): Micros = reachability.reachedIn(zone)
+    fun lastReachedInZone(zone: String?): Micros = reachability.lastReachedInZone(zone)
 
     /** Whether this controller is cut off from all agents. */
-    val isCutOff: Boolean get() = reachability.isCutOff
+    val isIsolatedFromAgents: Boolean get() = reachability.isIsolatedFromAgents
 
     /** Takes the heartbeat [report]; [reply] is answered at once, or when a take-over of its machine is decided. */
     fun onHeartbeat(
@@ -77,7 +77,7 @@
     ) = heartbeats.onHeartbeat(report, reply)
 
     /** Sends [machine] the commands that it lacks without waiting for its next heartbeat. */
-    fun push(machine: MachineId) = dispatcher.push(machine)
+    fun pushCommands(machine: MachineId) = dispatcher.pushCommands(machine)
 
     /** Asks [machine], whose heartbeat is overdue, for its status. */
     fun probe(machine: MachineId) = dispatcher.probe(machine)
@@ -98,16 +98,16 @@
     }
 
     /** To be called in each step before any machine is judged: takes in changes of control. */
-    fun refreshControl() {
-        when (val refresh = index.refreshControl()) {
-            ControlRefresh.Unchanged -> Unit
-            is ControlRefresh.Refreshed -> reachability.onControlRefreshed(refresh.acquired)
+    fun updateControlledMachines() {
+        when (val refresh = index.updateControlledMachines()) {
+            ControlUpdate.Unchanged -> Unit
+            is ControlUpdate.Changed -> reachability.onControlChanged(refresh.acquired)
         }
     }
 
     /** To be called in each step after all judgements: sends [touched] machines what changed for them, and confirms others. */
     fun tick(touched: Collection<MachineId>) {
-        reachability.updateCutOff()
+        reachability.updateIsolation()
         if (health.isHealthy()) dispatcher.tick(touched)
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
@@ -34,7 +34,7 @@
         var isInFlight = false
 
         /** A push was asked for while a call was in flight; it follows that call. */
-        var isPushWaiting = false
+        var isPushPending = false
         var confirmAfterUs: Micros = 0
     }
 
@@ -48,13 +48,13 @@
      * Sends [machine] the commands that it lacks without waiting for its next heartbeat; this also shows it our fencing token.
      * Does nothing if the machine is not under our control, can't be called now, or lacks nothing that is worth a call.
      */
-    fun push(machine: MachineId) {
+    fun pushCommands(machine: MachineId) {
         val calls = callsByMachine[machine]
         if (calls != null && calls.isInFlight) {
-            calls.isPushWaiting = true
+            calls.isPushPending = true
             return
         }
-        val claim = shardClaims.control(machine) ?: return
+        val claim = shardClaims.controlClaim(machine) ?: return
         if (!shardClaims.isOwn(claim) || !health.isHealthy() || index.isTerminated(machine)) return
         val view = index.viewOrCreate(machine)
         val address = addressOf(view) ?: return
@@ -69,9 +69,9 @@
         view: MachineView,
         claim: Claim,
         commands: List<Command>,
-    ): Boolean = commands.all { it.verb == Verb.FORGET } && !lacksToken(view, claim)
+    ): Boolean = commands.all { it.verb == Verb.FORGET } && !lacksCurrentToken(view, claim)
 
-    private fun lacksToken(
+    private fun lacksCurrentToken(
         view: MachineView?,
         claim: Claim,
     ): Boolean = view?.latest == null || view.token < claim.version
@@ -84,7 +84,7 @@
         val starts = CommandPlanner.startedAttempts(batch.commands)
         starts.forEach { view.startSent(it, batch.token, batch.session) }
         val call = WorkerProtocol.commands(address, batch, reachability.isSuspect(view.id))
-        start(view.id, call) { result -> onBatchResult(view, batch, starts, result) }
+        startCall(view.id, call) { result -> onBatchResult(view, batch, starts, result) }
     }
 
     /** Returns whether the agent showed its status. */
@@ -100,9 +100,9 @@
             starts.forEach(view::startSettled)
         }
         val report = statusIn(result)
-        if (report != null) takeStatus(view, report)
-        val isOfOtherSession = result is WorkerProtocol.Result.Dropped && report != null && report.session != batch.session
-        if (takeWaitingPush(view.id) || isOfOtherSession) push(view.id)
+        if (report != null) applyStatus(view, report)
+        val isFromOtherSession = result is WorkerProtocol.Result.Dropped && report != null && report.session != batch.session
+        if (takePendingPush(view.id) || isFromOtherSession) pushCommands(view.id)
         return report != null
     }
 
@@ -113,7 +113,7 @@
             WorkerProtocol.Result.NotSent, WorkerProtocol.Result.Unanswered -> null
         }
 
-    private fun takeStatus(
+    private fun applyStatus(
         view: MachineView,
         report: MachineReport,
     ) {
@@ -121,9 +121,9 @@
         if (isNew) index.onNewStatus(view, report)
     }
 
-    private fun takeWaitingPush(machine: MachineId): Boolean {
+    private fun takePendingPush(machine: MachineId): Boolean {
         val calls = callsByMachine[machine] ?: return false
-        return calls.isPushWaiting.also { calls.isPushWaiting = false }
+        return calls.isPushPending.also { calls.isPushPending = false }
     }
 
     /** Asks [machine], whose heartbeat is overdue, for its status; does nothing if it is unknown or can't be called now. */
@@ -142,13 +142,13 @@
     ) {
         val address = addressOf(view)
         if (address == null || isInFlight(view.id)) return then(false)
-        start(view.id, WorkerProtocol.inspect(address, reachability.isSuspect(view.id))) { result ->
+        startCall(view.id, WorkerProtocol.inspect(address, reachability.isSuspect(view.id))) { result ->
             val report = (result as? WorkerProtocol.Result.Executed)?.report
-            if (report != null) takeStatus(view, report)
+            if (report != null) applyStatus(view, report)
             then(report != null)
             // What a machine lacks goes with the answer to its next heartbeat; where none comes, it is sent now.
-            val noHeartbeatComes = report != null && index.isHeartbeatOverdue(view)
-            if (takeWaitingPush(view.id) || noHeartbeatComes) push(view.id)
+            val isHeartbeatMissing = report != null && index.isHeartbeatOverdue(view)
+            if (takePendingPush(view.id) || isHeartbeatMissing) pushCommands(view.id)
             report != null
         }
     }
@@ -165,12 +165,12 @@
 
     /** Beyond a partition a few calls are enough to see when it ends; the rest would only take time and sockets. */
     private fun maxSuspectCalls(machine: MachineId): Int {
-        val isWayOpen = health.zoneReachableSince(cache.machines[machine]?.record?.zone) != null
-        return if (isWayOpen) MAX_SUSPECT_CALLS else MAX_CALLS_BEYOND_PARTITION
+        val isZoneReachable = health.zoneReachableSince(cache.machines[machine]?.record?.zone) != null
+        return if (isZoneReachable) MAX_SUSPECT_CALLS else MAX_CALLS_ACROSS_PARTITION
     }
 
     /** Starts a call; [onResult] says whether the agent answered, which is noted only after it has run. */
-    private fun start(
+    private fun startCall(
         machine: MachineId,
         call: Call,
         onResult: (WorkerProtocol.Result) -> Boolean,
@@ -198,45 +198,45 @@
      * under control, raises the fencing token where a start was lost, and probes unreachable machines.
      */
     fun tick(touched: Collection<MachineId>) {
-        touched.forEach { if (it in index.controlled) push(it) }
+        touched.forEach { if (it in index.controlledMachines) pushCommands(it) }
         if (context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
         commandPlanner.forgetObsoleteStops()
-        if (reachability.isCutOff) probeUncontrolled()
+        if (reachability.isIsolatedFromAgents) probeUncontrolled()
         confirmControlled()
     }
 
     /** Hundreds of calls at once would keep users waiting: most machines confirm themselves with their next heartbeats. */
     private fun confirmControlled() {
         var confirmations = 0
-        for (machine in index.controlled) {
+        for (machine in index.controlledMachines) {
             val view = index.view(machine)
-            val claim = shardClaims.control(machine) ?: continue
+            val claim = shardClaims.controlClaim(machine) ?: continue
             if (view != null && hasLostStart(view)) shardClaims.raiseToken(machine, "lost-start")
             if (confirmations < MAX_CONFIRMATIONS && isConfirmationDue(machine, view, claim)) {
                 confirmations++
                 callsByMachine.getOrPut(machine) { DirectCalls() }.confirmAfterUs = context.now + CONFIRM_INTERVAL
-                push(machine)
+                pushCommands(machine)
             } else if (reachability.isUnreachable(machine)) {
                 probe(machine)
             }
         }
     }
 
-    private fun hasLostStart(view: MachineView): Boolean = view.needsHigherToken && context.now - view.heardUs < HEARD_RECENTLY
+    private fun hasLostStart(view: MachineView): Boolean = view.needsHigherToken && context.now - view.heardUs < RECENT_CONTACT
 
     private fun isConfirmationDue(
         machine: MachineId,
         view: MachineView?,
         claim: Claim,
-    ): Boolean = lacksToken(view, claim) && context.now >= (callsByMachine[machine]?.confirmAfterUs ?: 0)
+    ): Boolean = lacksCurrentToken(view, claim) && context.now >= (callsByMachine[machine]?.confirmAfterUs ?: 0)
 
     /**
      * Probes a machine that another controller controls, drawn at random. With no machine left under our control nothing else
      * would show that the way to the agents is open again, and this controller would take no part for ever.
      */
     private fun probeUncontrolled() {
-        val uncontrolled = cache.machines.keys.filter { it !in index.controlled }
+        val uncontrolled = cache.machines.keys.filter { it !in index.controlledMachines }
         if (uncontrolled.isEmpty()) return
         val machine = uncontrolled[context.random.nextInt(uncontrolled.size)]
         index.viewOrCreate(machine)
@@ -248,9 +248,9 @@
         private const val MAX_CONFIRMATIONS = 10
         private const val CONFIRM_INTERVAL: Micros = SECOND
         private const val MAX_SUSPECT_CALLS = 32
-        private const val MAX_CALLS_BEYOND_PARTITION = 4
+        private const val MAX_CALLS_ACROSS_PARTITION = 4
 
         /** A token is raised only for a machine heard within this span: the lost start ends when the machine shows the higher token. */
-        private const val HEARD_RECENTLY: Micros = 5 * SECOND
+        private const val RECENT_CONTACT: Micros = 5 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
@@ -39,14 +39,14 @@
      * A transaction that requeues [attempts] is under way. Until its outcome is known they are not started again, as by a
      * machine that has come back: committed late, it would have their successors run beside them.
      */
-    fun requeueSent(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.putIfAbsent(it, StopReason.REQUEUE_SENT) }
+    fun onRequeueSent(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.putIfAbsent(it, StopReason.REQUEUE_SENT) }
 
     /** That transaction is not and will not be committed. */
-    fun requeueFailed(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.remove(it, StopReason.REQUEUE_SENT) }
+    fun onRequeueFailed(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.remove(it, StopReason.REQUEUE_SENT) }
 
     /** That transaction may be committed at any later time: only another requeue settles [attempts]. */
-    fun requeueUnknown(attempts: Collection<AttemptId>) =
-        attempts.forEach { stopReasons.replace(it, StopReason.REQUEUE_SENT, StopReason.REQUEUE_UNKNOWN) }
+    fun onRequeueOutcomeUnknown(attempts: Collection<AttemptId>) =
+        attempts.forEach { stopReasons.replace(it, StopReason.REQUEUE_SENT, StopReason.REQUEUE_OUTCOME_UNKNOWN) }
 
     /** Forgets attempts that the records no longer show. */
     fun forgetObsoleteStops() {
@@ -62,7 +62,7 @@
         view: MachineView,
         claim: Claim,
     ): List<Command> {
-        if (cache.revision < claim.version) return stopsOfCancelled(view)
+        if (cache.revision < claim.version) return stopsOfCancelledTasks(view)
         return forgetsFor(view, claim) + stopsFor(view, claim) + startsFor(view, claim)
     }
 
@@ -71,7 +71,7 @@
      * machine has shown. Starts that were not sent at once wait while a cancellation could have been confirmed to its user
      * that this controller does not know of.
      */
-    fun answerFor(
+    fun commandsForAnswer(
         view: MachineView,
         claim: Claim,
     ): List<Command> {
@@ -80,7 +80,7 @@
     }
 
     /** What may be stopped whoever commands the machine: tasks of cancelled jobs. */
-    fun stopsOfCancelled(view: MachineView): List<Command> =
+    fun stopsOfCancelledTasks(view: MachineView): List<Command> =
         view.reported
             .filter { (attempt, task) -> task.state != TaskState.EXITED && isCancelled(attempt.task.job) }
             .map { (attempt, _) -> command(Verb.STOP, attempt, NO_GRACE_S) }
@@ -89,13 +89,13 @@
     fun isDraining(
         view: MachineView,
         claim: Claim?,
-    ): Boolean = isNoticed(view, claim) || isRetiring(view)
+    ): Boolean = hasTerminationNotice(view, claim) || isRetiring(view)
 
     /**
      * Whether the machine has a notice of its termination. It counts once this controller's own fencing token was shown with
      * it: a late copy of a report may bring back an old notice.
      */
-    fun isNoticed(
+    fun hasTerminationNotice(
         view: MachineView,
         claim: Claim?,
     ): Boolean = view.noticeEndsUs != null && claim != null && view.token >= claim.version
@@ -105,9 +105,9 @@
         return record.retiring != Retiring.NO
     }
 
-    private fun isCancelled(job: JobId): Boolean = cache.job(job)?.stage == StoredStage.CANCELLED || health.cancelledElsewhere(job)
+    private fun isCancelled(job: JobId): Boolean = cache.job(job)?.stage == StoredStage.CANCELLED || health.isCancelledElsewhere(job)
 
-    private fun isRunnable(job: Job): Boolean = job.stage == StoredStage.OPEN && !health.cancelledElsewhere(job.id)
+    private fun isRunnable(job: Job): Boolean = job.stage == StoredStage.OPEN && !health.isCancelledElsewhere(job.id)
 
     private fun isPlacedOn(
         view: MachineView,
@@ -140,8 +140,8 @@
     ): Command? {
         val job = cache.job(attempt.task.job)
         if (job == null || !isRunnable(job) || !isPlacedOn(view, attempt)) return command(Verb.STOP, attempt, NO_GRACE_S)
-        val isToStop = isStopping(attempt) || leavesWithMachine(view, claim, job)
-        if (!isToStop || task.state == TaskState.SAVING) return null
+        val mustStop = isStopping(attempt) || mustLeaveMachine(view, claim, job)
+        if (!mustStop || task.state == TaskState.SAVING) return null
         val graceS = graceSeconds(view)
         val canSave = graceS >= job.spec.saveS
         return command(Verb.STOP, attempt, if (canSave) graceS.toInt() else NO_GRACE_S)
@@ -154,12 +154,12 @@
     }
 
     /** Services leave a machine that is to go at once; work that ends soon may finish on one that is only being drained. */
-    private fun leavesWithMachine(
+    private fun mustLeaveMachine(
         view: MachineView,
         claim: Claim,
         job: Job,
     ): Boolean {
-        if (isNoticed(view, claim)) return true
+        if (hasTerminationNotice(view, claim)) return true
         val leavesAtOnce = job.spec.isService || job.spec.estimateS > MAX_DRAIN_ESTIMATE_S
         return isRetiring(view) && leavesAtOnce
     }
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
@@ -45,7 +45,7 @@
         report: MachineReport,
         scope: AnswerScope,
     ): Answer {
-        val claim = shardClaims.control(view.id)
+        val claim = shardClaims.controlClaim(view.id)
         if (!stateStore.hasLoaded || claim == null) return errorAnswer(UNAVAILABLE, "not ready")
         if (claim.node != context.self) return answerUncontrolled(view, report, claim, scope)
         if (claim.version < report.token) {
@@ -67,9 +67,9 @@
         // Our earlier process may have left starts under way that only the next token ends: until then stops alone are sent.
         val commands =
             if (carriesAll && shardClaims.isOwn(claim)) {
-                commandPlanner.answerFor(view, claim)
+                commandPlanner.commandsForAnswer(view, claim)
             } else {
-                commandPlanner.stopsOfCancelled(view)
+                commandPlanner.stopsOfCancelledTasks(view)
             }
         if (carriesAll) view.answeredWith(CommandPlanner.startedAttempts(commands))
         if (scope != AnswerScope.UNREAD) view.answeredReport(context.now)
@@ -89,7 +89,7 @@
     private fun mayAnswerOnBehalf(
         report: MachineReport,
         claim: Claim,
-    ): Boolean = report.zone == context.settings.zone && claim.version >= report.token && health.mayAnswerOnBehalfOf(claim.node)
+    ): Boolean = report.zone == context.settings.zone && claim.version >= report.token && health.mayAnswerAgentsOf(claim.node)
 
     /**
      * In a partition that cuts off our zone we keep the leases of other controllers' machines here alive, with their fencing
@@ -100,7 +100,7 @@
         claim: Claim,
     ): Answer {
         view.answeredReport(context.now)
-        return accepted(claim, commandPlanner.stopsOfCancelled(view))
+        return accepted(claim, commandPlanner.stopsOfCancelledTasks(view))
     }
 
     private fun accepted(
@@ -117,7 +117,7 @@
      */
     private fun closesConnection(): Boolean {
         val kept = context.settings.resources.maxConnections * 2 / 5
-        val agents = index.controlled.size
+        val agents = index.controlledMachines.size
         return kept in 1 until agents && context.random.nextInt(agents) >= kept
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
@@ -30,7 +30,7 @@
         val isNewest = view.take(report, context.now, direct = false)
         if (isNewest) index.onNewStatus(view, report)
         if (isAwaited) reachability.onHeartbeatFrom(report.zone)
-        if (isAwaited && unservedMachines.isUnserved(machine)) {
+        if (isAwaited && unservedMachines.recordHeartbeat(machine)) {
             takeOver(view, report, reply)
         } else {
             context.send(reply, answers.answer(view, report, scopeOf(isAwaited, isNewest)))
@@ -59,9 +59,9 @@
     ) {
         val machine = view.id
         val shard = shardClaims.shard(machine)
-        val controller = shardClaims.control(machine)?.node
+        val controller = shardClaims.controlClaim(machine)?.node
         if (shard == null || controller == null) return context.send(reply, answers.misdirected())
-        unservedMachines.found(machine, shard)
+        unservedMachines.recordUnserved(machine, shard)
         dispatcher.inspect(view) { isReached ->
             if (isReached) {
                 val isWholeShard = unservedMachines.isWholeShardUnserved(shard, controller)
--- a/src/main/kotlin/mintpick/engine/agents/MachineListChanges.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListChanges.kt
@@ -31,5 +31,5 @@
     val isUrgent: Boolean get() = scaledIn.any { it.isImmediate }
 
     /** Whether machines are only removed, which nothing waits for. */
-    val removesOnly: Boolean get() = added.isEmpty() && scaledIn.isEmpty()
+    val onlyRemoves: Boolean get() = added.isEmpty() && scaledIn.isEmpty()
 }
--- a/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
@@ -2,8 +2,8 @@
 
 import mintpick.core.MachineId
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
 import mintpick.engine.state.MachineListLayout
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.Write
 import mintpick.store.Keys
 import mintpick.wire.Guard
@@ -14,33 +14,33 @@
     val guards: List<Guard>,
     val writes: List<Write>,
     /** The requests that are settled once it is committed. */
-    val settled: List<ScaleInRequest>,
+    val appliedRequests: List<ScaleInRequest>,
 )
 
 /** Builds transactions that change the machine list. Event-loop thread only. */
 class MachineListTransactionBuilder(
     private val context: EngineContext,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
 ) {
     private val cache get() = context.cache
     private val maxOperations get() = context.settings.limits.transactionOps
 
     /** The transaction for [changes]; null if nothing of them can be written now. */
     fun build(changes: MachineListChanges): MachineListTransaction? {
-        val layout = MachineListLayout(cache.machineListsOf(changes.partition), formats.valueBytes, formats.current)
-        val placed = applyTo(layout, changes)
+        val layout = MachineListLayout(cache.machineListsOf(changes.partition), formats.maxValueBytes, formats.current)
+        val applied = applyTo(layout, changes)
         val reserved = minOf(MAX_OBSOLETE_RECORDS * 2, maxOperations / 2)
-        val pieces = layout.changed(maxOf(1, maxOperations - reserved), MAX_BYTES)
+        val pieces = layout.changedPieces(maxOf(1, maxOperations - reserved), MAX_BYTES)
         if (pieces.isEmpty()) return null
         val written = pieces.values.flatMapTo(HashSet()) { it.machines.keys }
         val removed = changes.terminated.map { it.id }.filter { id -> pieces.values.any { id in it.removed } }
         val listWrites = pieces.map { (number, piece) -> Write(Keys.machineList(changes.partition, number), piece.value) }
-        val borrowWrites = endsOfBorrowings(removed, maxOf(0, maxOperations - pieces.size))
+        val borrowWrites = borrowingRemovals(removed, maxOf(0, maxOperations - pieces.size))
         val legacyRoom = maxOf(0, maxOperations - pieces.size) - borrowWrites.size
         val moved = (changes.added.keys + changes.scaledIn.map { it.machine }).filter { it in written }
         // Borrowings first: of a machine that is removed after them no end of a borrowing has to be kept.
-        val writes = borrowWrites + listWrites + removalsOfLegacyRecords(moved + removed, legacyRoom)
-        return MachineListTransaction(guardsOf(changes.partition, layout), writes, placed.filter { it.machine in written })
+        val writes = borrowWrites + listWrites + legacyRecordRemovals(moved + removed, legacyRoom)
+        return MachineListTransaction(guardsOf(changes.partition, layout), writes, applied.filter { it.machine in written })
     }
 
     /** Makes [changes] in [layout]; returns the requests that found room there. */
@@ -53,13 +53,13 @@
         val records = legacy.associate { it.id to it.record } + changes.added
         records.forEach { (id, record) -> layout.add(id, record) }
         changes.terminated.forEach { layout.remove(it.id) }
-        val placed = changes.scaledIn.filter { layout.mark(it.machine, it.mode) }
-        val waiting = changes.scaledIn.size - placed.size
+        val applied = changes.scaledIn.filter { layout.markRetiring(it.machine, it.mode) }
+        val waiting = changes.scaledIn.size - applied.size
         if (waiting > 0) LOG.warn("machine list full part={} marks={} waiting", changes.partition, waiting)
-        return placed
+        return applied
     }
 
-    private fun endsOfBorrowings(
+    private fun borrowingRemovals(
         removed: List<MachineId>,
         room: Int,
     ): List<Write> =
@@ -68,7 +68,7 @@
             .take(minOf(MAX_OBSOLETE_RECORDS, room))
             .map { Write(Keys.borrow(it.text), null) }
 
-    private fun removalsOfLegacyRecords(
+    private fun legacyRecordRemovals(
         machines: List<MachineId>,
         room: Int,
     ): List<Write> =
@@ -82,7 +82,7 @@
         partition: Int,
         layout: MachineListLayout,
     ): List<Guard> =
-        layout.numbers
+        layout.guardedNumbers
             .map { Keys.machineList(partition, it) }
             .map { Guard(it, cache.version(it)) }
 
--- a/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
@@ -8,7 +8,7 @@
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.runtime.TokenBucket
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.store.TransactionResult
 import mintpick.wire.MachineRecord
@@ -26,15 +26,15 @@
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
     private val reconciler: Reconciler,
-    formats: FormatGate,
+    formats: RecordFormatNegotiator,
 ) {
     /** Writes of one partition of the list. */
     private class PartitionWrites {
         /** Whether a transaction is under way. */
-        var isBusy = false
+        var isInFlight = false
 
         /** When the next one may be sent; 0 if at once. */
-        var nextUs: Micros = 0
+        var nextWriteUs: Micros = 0
     }
 
     private val transactions = MachineListTransactionBuilder(context, formats)
@@ -59,21 +59,21 @@
         val request = ScaleInRequest(machine, mode, reason)
         requests[machine] = request
         // What is lost is not to wait for others.
-        if (request.isImmediate) writesOf(partitionOf(machine)).nextUs = 0
+        if (request.isImmediate) writesOf(partitionOf(machine)).nextWriteUs = 0
         nextTickUs = minOf(nextTickUs, context.now + BATCH_DELAY)
     }
 
     /** Whether [machine] waits to be marked as one to be scaled in. */
-    fun isMarkedForScaleIn(machine: MachineId): Boolean = machine in requests
+    fun hasPendingScaleIn(machine: MachineId): Boolean = machine in requests
 
     /** Sends the writes that are due. */
     fun tick() {
         if (!stateStore.isServing || !stateStore.isReachable || context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
         // The longest waiting first: otherwise the same few would take all writes while a cluster boots.
-        val changes = collectChanges().sortedBy { writesOf(it.partition).nextUs }
+        val changes = collectChanges().sortedBy { writesOf(it.partition).nextWriteUs }
         for (change in changes) {
-            if (isDue(change) && takeWrite(change)) write(change)
+            if (isDue(change) && acquireWrite(change)) write(change)
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     private fun collectChanges(): List<MachineListChanges> {
-        val added = agents.views().filter(::isToBeAdded).groupBy { partitionOf(it.id) }
+        val added = agents.views().filter(::shouldBeAdded).groupBy { partitionOf(it.id) }
         val terminated =
             cache.machines.values
                 .filter { reconciler.isTerminated(it.id) && cache.tasksOn(it.id).isEmpty() }
@@ -111,7 +111,7 @@
     private fun partitionOf(machine: MachineId): Int = shardClaims.partition(machine.text)
 
     /** Whether the machine is alive and not in the list, or only in a record of an earlier version. */
-    private fun isToBeAdded(view: MachineView): Boolean {
+    private fun shouldBeAdded(view: MachineView): Boolean {
         val known = cache.machines[view.id]
         val isListed = known != null && !known.legacy
         return view.latest != null &&
@@ -130,13 +130,13 @@
     private fun isDue(change: MachineListChanges): Boolean {
         val writes = writesOf(change.partition)
         // The list's share of the writes is enough: what places tasks would leave none, and an unlisted machine takes no task.
-        val mayWrite = !writes.isBusy && (change.isUrgent || context.now >= writes.nextUs) && stateStore.mayWrite
+        val mayWrite = !writes.isInFlight && (change.isUrgent || context.now >= writes.nextWriteUs) && stateStore.mayWrite
         if (!mayWrite) return false
         // Terminated machines harm nobody by being listed: they alone are reason enough only now and then.
-        return !change.removesOnly || context.now >= writes.nextUs + REMOVAL_DELAY
+        return !change.onlyRemoves || context.now >= writes.nextWriteUs + REMOVAL_DELAY
     }
 
-    private fun takeWrite(change: MachineListChanges): Boolean {
+    private fun acquireWrite(change: MachineListChanges): Boolean {
         if (!change.isUrgent) return writeBudget.take(context.now, 1.0)
         writeBudget.charge(context.now, 1.0)
         return true
@@ -145,22 +145,22 @@
     private fun write(change: MachineListChanges) {
         val writes = writesOf(change.partition)
         val transaction = transactions.build(change)
-        writes.nextUs = context.now + WRITE_INTERVAL
+        writes.nextWriteUs = context.now + WRITE_INTERVAL
         if (transaction == null) return
-        writes.isBusy = true
+        writes.isInFlight = true
         writeBudget.charge(context.now, (transaction.writes.size - 1).toDouble())
         stateStore.transact(transaction.guards, transaction.writes) { result ->
-            writes.isBusy = false
+            writes.isInFlight = false
             if (result is TransactionResult.Committed) {
-                transaction.settled.forEach(::onSettled)
+                transaction.appliedRequests.forEach(::onRequestCommitted)
             } else {
-                writes.nextUs = context.now + RETRY_DELAY
-                stateStore.caughtUp { }
+                writes.nextWriteUs = context.now + RETRY_DELAY
+                stateStore.afterCatchUp { }
             }
         }
     }
 
-    private fun onSettled(request: ScaleInRequest) {
+    private fun onRequestCommitted(request: ScaleInRequest) {
         val machine = request.machine
         requests.remove(machine, request)
         val type = cache.machines[machine]?.record?.type
--- a/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
+++ b/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
@@ -36,7 +36,7 @@
         before: TaskOutcomes?,
     ): TaskOutcomes? {
         val view = agents.view(machine) ?: return null
-        val claim = shardClaims.control(machine) ?: return null
+        val claim = shardClaims.controlClaim(machine) ?: return null
         val isInControl = shardClaims.isOwn(claim) && cache.revision >= claim.version
         if (isInControl && agents.hasLeaseExpired(view)) return leaseExpired(machine, before)
         val examination = Examination(view, claim, if (isInControl) claim.version else NO_TOKEN, before)
@@ -56,7 +56,7 @@
         machine: MachineId,
         before: TaskOutcomes?,
     ): TaskOutcomes {
-        val isKnown = before != null && before.endedTasksAre(cache.tasksOn(machine).keys)
+        val isKnown = before != null && before.hasEndedExactly(cache.tasksOn(machine).keys)
         if (!isKnown) LOG.debug("lease lapsed machine={}", machine.text)
         return TaskOutcomes.allEnded(attemptsOn(machine), isTerminated = false)
     }
@@ -75,9 +75,9 @@
             job: Job,
         ) {
             when (val proof = view.proof(attempt, token)) {
-                Proof.None -> if (job.spec.isService) failureHandler.onReplicaReported(view, attempt)
+                Proof.None -> if (job.spec.isService) failureHandler.onReplicaObserved(view, attempt)
                 Proof.Completed -> addCompleted(attempt, job)
-                is Proof.Ended -> if (!isStartedAgain(attempt, job, proof.cause)) addEnded(attempt, job, proof.cause)
+                is Proof.Ended -> if (!willBeRestarted(attempt, job, proof.cause)) addEnded(attempt, job, proof.cause)
             }
         }
 
@@ -101,7 +101,7 @@
         }
 
         /** Absent and still to run here: its start is sent again, which is quicker than another placement. */
-        private fun isStartedAgain(
+        private fun willBeRestarted(
             attempt: AttemptId,
             job: Job,
             cause: ExitCause?,
--- a/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
+++ b/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
@@ -117,7 +117,7 @@
      * Jobs of which something must be written now: tasks that have to be placed again, the end of a job, the last of its
      * tasks on this controller's machines, or what has waited for [MAX_WRITE_DELAY].
      */
-    fun due(): List<JobId> {
+    fun jobsToWrite(): List<JobId> {
         pending.values.removeIf { it.machines.isEmpty() }
         return pending.entries.filter { (id, write) -> isDue(id, write) }.map { it.key }
     }
@@ -137,7 +137,7 @@
     ): Boolean {
         val known = write.urgency
         if (known != null && known.job === job && known.claimEpoch == cache.claimEpoch) return known.isUrgent
-        val isUrgent = hasTasksToPlaceAgain(job, write) || isAllProven(job, write)
+        val isUrgent = hasTasksToPlaceAgain(job, write) || areAllOutcomesProven(job, write)
         write.urgency = Urgency(job, cache.claimEpoch, isUrgent)
         return isUrgent
     }
@@ -152,7 +152,7 @@
     }
 
     /** Nothing of it is left that could be proven here soon: it has ended, or what is left waits or is elsewhere. */
-    private fun isAllProven(
+    private fun areAllOutcomesProven(
         job: Job,
         write: PendingWrite,
     ): Boolean {
--- a/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
+++ b/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
@@ -22,8 +22,8 @@
     }
 
     private val failuresByMachine = HashMap<MachineId, FailedCalls>()
-    private val reachedUsByZone = HashMap<String, Micros>()
-    private var cutOffSinceUs: Micros? = null
+    private val lastReachedUsByZone = HashMap<String, Micros>()
+    private var isolatedSinceUs: Micros? = null
 
     /** Whether a call to [machine] has failed and none has got through since; its heartbeats may still come. */
     fun isUnreachable(machine: MachineId): Boolean = failedCalls(machine) > 0
@@ -41,7 +41,7 @@
     fun isSuspect(machine: MachineId): Boolean {
         val view = index.view(machine)
         if (view?.latest == null) return true
-        return isUnreachable(machine) || index.isSilent(view)
+        return isUnreachable(machine) || index.isUnresponsive(view)
     }
 
     /** Whether the wait after failed calls is over, which grows with their number. */
@@ -51,17 +51,17 @@
      * When a call last got through to a machine in [zone], or a heartbeat from there to us; 0: never. It is by zone since with
      * few machines a wave of hangs may leave none that is called often.
      */
-    fun reachedIn(zone: String?): Micros = reachedUsByZone[zone] ?: 0
+    fun lastReachedInZone(zone: String?): Micros = lastReachedUsByZone[zone] ?: 0
 
     /** A heartbeat that an agent in [zone] waits on has come: in a partition neither calls nor heartbeats get through. */
     fun onHeartbeatFrom(zone: String) {
-        reachedUsByZone[zone] = context.now
+        lastReachedUsByZone[zone] = context.now
     }
 
     /** A call to [machine] got through. */
     fun onCallAnswered(machine: MachineId) {
         failuresByMachine.remove(machine)
-        context.cache.machines[machine]?.let { reachedUsByZone[it.record.zone] = context.now }
+        context.cache.machines[machine]?.let { lastReachedUsByZone[it.record.zone] = context.now }
     }
 
     /** A call to [machine] failed. */
@@ -78,7 +78,7 @@
     }
 
     /** Control has changed: what failed while [acquired] machines were another controller's says nothing of now. */
-    fun onControlRefreshed(acquired: Collection<MachineId>) {
+    fun onControlChanged(acquired: Collection<MachineId>) {
         acquired.forEach(failuresByMachine::remove)
         failuresByMachine.keys.retainAll(context.cache.machines.keys)
     }
@@ -86,7 +86,7 @@
     /** A process pause has just ended: calls that failed during it say nothing of the machines. */
     fun onProcessPause() {
         failuresByMachine.clear()
-        cutOffSinceUs = null
+        isolatedSinceUs = null
     }
 
     /**
@@ -94,17 +94,17 @@
      * takes over nothing from controllers that are not, until a call or heartbeat gets through: the machines whose calls
      * failed may all go while the partition lasts.
      */
-    val isCutOff: Boolean get() = cutOffSinceUs != null
+    val isIsolatedFromAgents: Boolean get() = isolatedSinceUs != null
 
     /** To be called in each step: notes when the controller is cut off, and when no longer. */
-    fun updateCutOff() {
-        val reachedUs = reachedUsByZone.values.maxOrNull() ?: 0
-        val sinceUs = cutOffSinceUs
+    fun updateIsolation() {
+        val reachedUs = lastReachedUsByZone.values.maxOrNull() ?: 0
+        val sinceUs = isolatedSinceUs
         if (sinceUs == null) {
-            val nothingGetsThrough = context.now - reachedUs > CUT_OFF_SILENCE
-            if (failuresByMachine.size >= CUT_OFF_MACHINES && nothingGetsThrough) cutOffSinceUs = context.now
+            val nothingGetsThrough = context.now - reachedUs > ISOLATION_TIMEOUT
+            if (failuresByMachine.size >= MIN_UNREACHABLE_MACHINES && nothingGetsThrough) isolatedSinceUs = context.now
         } else if (reachedUs > sinceUs || context.cache.machines.isEmpty()) {
-            cutOffSinceUs = null
+            isolatedSinceUs = null
         }
     }
 
@@ -114,9 +114,9 @@
         private const val MAX_BACKOFF: Micros = 3 * SECOND
 
         /** So many machines at least must be unreachable for the controller to be cut off. */
-        private const val CUT_OFF_MACHINES = 3
+        private const val MIN_UNREACHABLE_MACHINES = 3
 
         /** For so long nothing must have got through for the controller to be cut off. */
-        private const val CUT_OFF_SILENCE: Micros = 4 * SECOND
+        private const val ISOLATION_TIMEOUT: Micros = 4 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
@@ -56,7 +56,7 @@
     fun mayRetry(job: JobId): Boolean = failures.mayRetry(job, context.now)
 
     /** Whether no worker's refusal of a start on [machine] is recent. */
-    fun acceptsStarts(machine: MachineId): Boolean = failureHandler.hasRoom(machine)
+    fun acceptsStarts(machine: MachineId): Boolean = failureHandler.acceptsStarts(machine)
 
     /** Room on [machine] that the records still show as taken. */
     fun freedOn(machine: MachineId): Resources = pendingWrites.freedOn(machine)
@@ -72,7 +72,7 @@
             changedMachines += cache.machinesWithTasks()
         } else if (context.now >= nextSweepUs) {
             nextSweepUs = context.now + SWEEP_INTERVAL
-            changedMachines += agents.controlled
+            changedMachines += agents.controlledMachines
             failureHandler.forgetFinished()
         }
         changedMachines.forEach(::examine)
@@ -98,8 +98,8 @@
     /** Changes [draft] by all that is proven of its job. */
     fun apply(draft: JobUpdate) = pendingWrites.apply(draft)
 
-    /** Jobs of which something must be written now; see [PendingJobWrites.due]. */
-    fun jobsToWrite(): List<JobId> = pendingWrites.due()
+    /** Jobs of which something must be written now; see [PendingJobWrites.jobsToWrite]. */
+    fun jobsToWrite(): List<JobId> = pendingWrites.jobsToWrite()
 
     private companion object {
         val LOG = LoggerFactory.getLogger(Reconciler::class.java)
--- a/src/main/kotlin/mintpick/engine/agents/StopReason.kt
+++ b/src/main/kotlin/mintpick/engine/agents/StopReason.kt
@@ -9,5 +9,5 @@
     REQUEUE_SENT,
 
     /** The outcome of a transaction that requeues it is unknown: it may be committed at any later time. */
-    REQUEUE_UNKNOWN,
+    REQUEUE_OUTCOME_UNKNOWN,
 }
--- a/src/main/kotlin/mintpick/engine/agents/TaskFailureHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/TaskFailureHandler.kt
@@ -25,12 +25,12 @@
     private val runningSinceUs = HashMap<AttemptId, Micros>()
 
     /** Until when machines whose workers refused a start get no other one. */
-    private val refusingUntilUs = HashMap<MachineId, Micros>()
+    private val startsRefusedUntilUs = HashMap<MachineId, Micros>()
 
     private val cache get() = context.cache
 
     /** Whether no worker's refusal of a start on [machine] is recent. */
-    fun hasRoom(machine: MachineId): Boolean = context.now >= (refusingUntilUs[machine] ?: 0)
+    fun acceptsStarts(machine: MachineId): Boolean = context.now >= (startsRefusedUntilUs[machine] ?: 0)
 
     /** A task of [job] has completed on [machine]. */
     fun onCompleted(
@@ -48,7 +48,7 @@
         when (cause) {
             ExitCause.ERROR -> onError(machine, attempt, job)
             ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN -> {
-                refusingUntilUs[machine] = context.now + START_REFUSED_PAUSE
+                startsRefusedUntilUs[machine] = context.now + REFUSED_START_BACKOFF
                 LOG.debug("start refused task={} machine={} cause={}", attempt.task, machine.text, cause)
             }
             else -> Unit
@@ -56,7 +56,7 @@
     }
 
     /** A service never completes: a replica that goes on running shows that its job is not at fault. */
-    fun onReplicaReported(
+    fun onReplicaObserved(
         view: MachineView,
         attempt: AttemptId,
     ) {
@@ -95,6 +95,6 @@
         const val STABLE_RUN_TIME: Micros = 30 * SECOND
 
         /** How long a machine gets nothing to start after its worker has refused a start. */
-        const val START_REFUSED_PAUSE: Micros = SECOND
+        const val REFUSED_START_BACKOFF: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/TaskOutcomes.kt
+++ b/src/main/kotlin/mintpick/engine/agents/TaskOutcomes.kt
@@ -31,7 +31,7 @@
     fun hasEnded(attempt: AttemptId): Boolean = ended[attempt.task] == attempt.attempt
 
     /** Whether just these [tasks] are proven to have ended. */
-    fun endedTasksAre(tasks: Set<TaskId>): Boolean = ended.keys == tasks
+    fun hasEndedExactly(tasks: Set<TaskId>): Boolean = ended.keys == tasks
 
     /** Attempts of [job] that have completed. */
     fun completedOf(job: JobId): List<AttemptId> = attemptsOf(job, completed)
--- a/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
@@ -18,74 +18,75 @@
     private val health: ControllerHealth,
 ) {
     /** Heartbeats of a machine that is another controller's, one soon after the other. */
-    private class Misdirections(
+    private class MisdirectedHeartbeats(
         var firstUs: Micros,
     ) {
         var lastUs = firstUs
         var count = 0
     }
 
-    private val misdirectionsByMachine = HashMap<MachineId, Misdirections>()
+    private val misdirectedByMachine = HashMap<MachineId, MisdirectedHeartbeats>()
 
     /** By shard, when a machine of it was last found unserved. */
-    private val foundUsByShard = HashMap<Int, HashMap<MachineId, Micros>>()
+    private val unservedUsByShard = HashMap<Int, HashMap<MachineId, Micros>>()
 
     /**
      * Counts a heartbeat and says whether its machine is unserved: its agent keeps coming although it was sent to its
      * controller, or that controller is silent to us too. Ask once for each heartbeat that an agent waits on.
      */
-    fun isUnserved(machine: MachineId): Boolean {
-        val controller = shardClaims.control(machine)?.node
+    fun recordHeartbeat(machine: MachineId): Boolean {
+        val controller = shardClaims.controlClaim(machine)?.node
         if (!health.isHealthy() || controller == null || controller == context.self || !shardClaims.isLive(controller)) return false
-        val seen = count(machine)
+        val misdirected = count(machine)
         // Whoever has just claimed it is alive to the state service, though we may not hear them: they are tried first.
         // While controllers refused each other's connections, shards once went back and forth until leases expired.
-        val isControllerSilent = shardClaims.isSettled(machine) && !health.hears(controller)
-        val isUnserved = isControllerSilent || (keepsComing(seen) && !health.heardElsewhere(machine, controller))
-        if (isUnserved) seen.count = 0
+        val lacksControllerHints = shardClaims.isClaimSettled(machine) && !health.hasRecentHint(controller)
+        val isUnserved =
+            lacksControllerHints || (isRepeatedlyMisdirected(misdirected) && !health.hasHeartbeatElsewhere(machine, controller))
+        if (isUnserved) misdirected.count = 0
         return isUnserved
     }
 
-    private fun count(machine: MachineId): Misdirections {
-        val seen = misdirectionsByMachine.getOrPut(machine) { Misdirections(context.now) }
-        if (context.now - seen.lastUs > MISDIRECTION_MEMORY) {
-            seen.firstUs = context.now
-            seen.count = 0
+    private fun count(machine: MachineId): MisdirectedHeartbeats {
+        val misdirected = misdirectedByMachine.getOrPut(machine) { MisdirectedHeartbeats(context.now) }
+        if (context.now - misdirected.lastUs > MISDIRECTION_RETENTION) {
+            misdirected.firstUs = context.now
+            misdirected.count = 0
         }
-        seen.lastUs = context.now
-        seen.count++
-        return seen
+        misdirected.lastUs = context.now
+        misdirected.count++
+        return misdirected
     }
 
-    private fun keepsComing(seen: Misdirections): Boolean =
-        seen.count >= MIN_MISDIRECTIONS && context.now - seen.firstUs > MIN_MISDIRECTION_SPAN
+    private fun isRepeatedlyMisdirected(misdirected: MisdirectedHeartbeats): Boolean =
+        misdirected.count >= MIN_MISDIRECTIONS && context.now - misdirected.firstUs > MIN_MISDIRECTION_SPAN
 
     /** Notes that [machine] of [shard] was found unserved. */
-    fun found(
+    fun recordUnserved(
         machine: MachineId,
         shard: Int,
     ) {
-        val foundUs = foundUsByShard.getOrPut(shard) { HashMap() }
-        foundUs[machine] = context.now
-        foundUs.values.removeIf { context.now - it > FOUND_MEMORY }
+        val unservedUs = unservedUsByShard.getOrPut(shard) { HashMap() }
+        unservedUs[machine] = context.now
+        unservedUs.values.removeIf { context.now - it > UNSERVED_RETENTION }
     }
 
     /** Whether all of [shard] should be taken over from [controller], and not one machine alone. */
     fun isWholeShardUnserved(
         shard: Int,
         controller: NodeId,
-    ): Boolean = (foundUsByShard[shard]?.size ?: 0) >= WHOLE_SHARD_MACHINES || !health.hears(controller)
+    ): Boolean = (unservedUsByShard[shard]?.size ?: 0) >= WHOLE_SHARD_MACHINES || !health.hasRecentHint(controller)
 
     /** Forgets the misdirected heartbeats of [machine]: it is served by us, or terminated. */
     fun forget(machine: MachineId) {
-        misdirectionsByMachine.remove(machine)
+        misdirectedByMachine.remove(machine)
     }
 
     companion object {
         private const val MIN_MISDIRECTIONS = 2
         private const val MIN_MISDIRECTION_SPAN: Micros = 3 * SECOND
-        private const val MISDIRECTION_MEMORY: Micros = 15 * SECOND
-        private const val FOUND_MEMORY: Micros = 8 * SECOND
+        private const val MISDIRECTION_RETENTION: Micros = 15 * SECOND
+        private const val UNSERVED_RETENTION: Micros = 8 * SECOND
 
         /** From so many unserved machines of a shard on, its controller is taken not to serve the whole shard. */
         private const val WHOLE_SHARD_MACHINES = 3
--- a/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
@@ -13,7 +13,7 @@
 internal class ClaimCache {
     private val claimsByShard = HashMap<Int, Claim>()
     private val borrowsByMachine = HashMap<MachineId, Claim>()
-    private val borrowEndsByMachine = HashMap<MachineId, Long>()
+    private val borrowEndRevisionsByMachine = HashMap<MachineId, Long>()
 
     /** Claims by shard. */
     val claims: Map<Int, Claim> get() = claimsByShard
@@ -22,7 +22,7 @@
     val borrows: Map<MachineId, Claim> get() = borrowsByMachine
 
     /** Revisions at which borrowings ended: all commands that were given under them have lower tokens. */
-    val borrowEnds: Map<MachineId, Long> get() = borrowEndsByMachine
+    val borrowEndRevisions: Map<MachineId, Long> get() = borrowEndRevisionsByMachine
 
     /** The leader's claim; null: there is no leader. */
     var leader: Claim? = null
@@ -50,9 +50,9 @@
     ) {
         epoch++
         if (value == null) {
-            borrowEndsByMachine[machine] = version
+            borrowEndRevisionsByMachine[machine] = version
         } else {
-            borrowEndsByMachine.remove(machine)
+            borrowEndRevisionsByMachine.remove(machine)
         }
         borrowsByMachine.applyRecord(machine, value) { decode(it, version) }
     }
@@ -66,7 +66,7 @@
     }
 
     /** Forgets when borrowings of [machines] ended, which are in no list any more. */
-    fun removeBorrowEnds(machines: Collection<MachineId>) = machines.forEach(borrowEndsByMachine::remove)
+    fun removeBorrowEndRevisions(machines: Collection<MachineId>) = machines.forEach(borrowEndRevisionsByMachine::remove)
 
     private fun decode(
         value: JsonElement,
--- a/src/main/kotlin/mintpick/engine/cache/ControllerCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/ControllerCache.kt
@@ -13,14 +13,14 @@
  */
 internal class ControllerCache {
     private val nodesById = HashMap<NodeId, NodeRecord>()
-    private val formatsByNode = HashMap<NodeId, Int>()
+    private val announcedFormatsByNode = HashMap<NodeId, Int>()
     private val usageByNode = HashMap<NodeId, MutableMap<Int, UsageRecord>>()
 
     /** Controllers whose lease of the state service holds. */
     val nodes: Map<NodeId, NodeRecord> get() = nodesById
 
     /** The newest record format that each controller has announced; absent: the oldest. */
-    val formats: Map<NodeId, Int> get() = formatsByNode
+    val announcedFormats: Map<NodeId, Int> get() = announcedFormatsByNode
 
     /** Use by team as each controller has stored it, by piece. */
     val usage: Map<NodeId, Map<Int, UsageRecord>> get() = usageByNode
@@ -35,7 +35,7 @@
     fun applyFormat(
         node: NodeId,
         value: JsonElement?,
-    ) = formatsByNode.applyRecord(node, value) { WireJson.decodeFromJsonElement(FormatRecord.serializer(), it).level }
+    ) = announcedFormatsByNode.applyRecord(node, value) { WireJson.decodeFromJsonElement(FormatRecord.serializer(), it).level }
 
     /** A piece of [node]'s use by team was written, or deleted if [value] is null. */
     fun applyUsage(
--- a/src/main/kotlin/mintpick/engine/cache/JobCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -29,7 +29,7 @@
     private val finalJobs = FinalJobCache()
     private val incompleteJobs = HashMap<JobId, IncompleteJob>()
     private val waitingIds = LinkedHashSet<JobId>()
-    private val closableIds = LinkedHashSet<JobId>()
+    private val finalizableIds = LinkedHashSet<JobId>()
 
     /** Pieces of specifications. */
     val specPieces = SpecPieceCache()
@@ -44,19 +44,19 @@
     fun job(id: JobId): Job? = jobsById[id]
 
     /** The job [id] if it is in a final stage. */
-    fun final(id: JobId): FinalJob? = finalJobs[id]
+    fun finalJob(id: JobId): FinalJob? = finalJobs[id]
 
     /** Open jobs with tasks to place, the one that has been so for longest first. */
     fun waitingJobs(): List<Job> = waitingIds.mapNotNull { jobsById[it] }
 
     /** Ids of the cancelled jobs that have tasks left. */
     fun cancelledJobs(): List<String> {
-        val cancelled = jobsById.values.filter { it.stage == StoredStage.CANCELLED && it.id !in closableIds }
+        val cancelled = jobsById.values.filter { it.stage == StoredStage.CANCELLED && it.id !in finalizableIds }
         return cancelled.map { it.id.text }
     }
 
     /** Cancelled jobs without a task left, whose records are not final yet. */
-    fun finalizableJobs(): Sequence<Job> = closableIds.asSequence().mapNotNull { jobsById[it] }
+    fun finalizableJobs(): Sequence<Job> = finalizableIds.asSequence().mapNotNull { jobsById[it] }
 
     /** The main record of [id] was written, or deleted if [value] is null. */
     fun applyJob(
@@ -139,11 +139,11 @@
         when (dependencies.add(stored.id, stored.spec.predecessorIds, ::predecessorState)) {
             Readiness.RELEASED -> stored
             Readiness.WAITING -> stored.with(isReleased = false)
-            Readiness.WITHDRAWN -> stored.with(stage = StoredStage.CANCELLED, isReleased = false)
+            Readiness.CANCELLED -> stored.with(stage = StoredStage.CANCELLED, isReleased = false)
         }
 
     private fun predecessorState(id: JobId): PredecessorState =
-        when (final(id)?.stage ?: jobsById[id]?.stage) {
+        when (finalJob(id)?.stage ?: jobsById[id]?.stage) {
             StoredStage.DONE -> PredecessorState.DONE
             StoredStage.CANCELLED -> PredecessorState.CANCELLED
             else -> PredecessorState.PENDING
@@ -155,11 +155,11 @@
         stage: StoredStage,
     ) {
         if (stage == StoredStage.DONE) {
-            for (successor in dependencies.done(id)) {
+            for (successor in dependencies.markDone(id)) {
                 jobsById[successor]?.let { replace(successor, it.with(isReleased = true)) }
             }
         } else {
-            for (successor in dependencies.cancelled(id)) {
+            for (successor in dependencies.markCancelled(id)) {
                 jobsById[successor]?.let { replace(successor, it.with(stage = StoredStage.CANCELLED)) }
             }
         }
@@ -176,7 +176,7 @@
         } else {
             jobsById[id] = after
         }
-        updateMembership(closableIds, id, after != null && after.stage == StoredStage.CANCELLED && after.placed == 0)
+        updateMembership(finalizableIds, id, after != null && after.stage == StoredStage.CANCELLED && after.placed == 0)
         updateMembership(waitingIds, id, after != null && after.waiting > 0)
     }
 
--- a/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -53,7 +53,7 @@
     val borrows: Map<MachineId, Claim> get() = claimCache.borrows
 
     /** Revisions at which borrowings ended: all commands that were given under them have lower tokens. */
-    val borrowEnds: Map<MachineId, Long> get() = claimCache.borrowEnds
+    val borrowEndRevisions: Map<MachineId, Long> get() = claimCache.borrowEndRevisions
 
     /** The leader's claim; null: there is no leader. */
     val leader: Claim? get() = claimCache.leader
@@ -62,19 +62,19 @@
     val machines: Map<MachineId, KnownMachine> get() = machineCache.machines
 
     /** Machine types by name; empty until they are known. */
-    val types: Map<String, MachineType> get() = machineCache.types
+    val machineTypes: Map<String, MachineType> get() = machineCache.machineTypes
 
     /** How many pieces the machine types are stored in. */
     val machineTypePieceCount: Int get() = machineCache.machineTypePieceCount
 
     /** Processors of all machines, computed anew when [controlEpoch] has risen. */
-    val cpus: Double get() = machineCache.cpus(controlEpoch)
+    val totalCpus: Double get() = machineCache.totalCpus(controlEpoch)
 
     /** Controllers whose lease of the state service holds. */
     val nodes: Map<NodeId, NodeRecord> get() = controllerCache.nodes
 
     /** The newest record format that each controller has announced; absent: the oldest. */
-    val formats: Map<NodeId, Int> get() = controllerCache.formats
+    val announcedFormats: Map<NodeId, Int> get() = controllerCache.announcedFormats
 
     /** Use by team as each controller has stored it, by piece. */
     val usage: Map<NodeId, Map<Int, UsageRecord>> get() = controllerCache.usage
@@ -89,10 +89,10 @@
     fun job(id: JobId): Job? = jobCache.job(id)
 
     /** The job [id] if it is in a final stage. */
-    fun final(id: JobId): FinalJob? = jobCache.final(id)
+    fun finalJob(id: JobId): FinalJob? = jobCache.finalJob(id)
 
     /** Whether the job [id] is known, in whichever stage. */
-    fun knows(id: JobId): Boolean = job(id) != null || final(id) != null
+    fun isKnown(id: JobId): Boolean = job(id) != null || finalJob(id) != null
 
     /** Open jobs with tasks to place, the one that has been so for longest first. */
     fun waitingJobs(): List<Job> = jobCache.waitingJobs()
@@ -128,16 +128,16 @@
     fun usedOn(machine: MachineId): Resources = placementIndex.usedOn(machine)
 
     /** What services and production work take of [machine]; the rest of what is used can be preempted for them. */
-    fun servicesOn(machine: MachineId): Resources = placementIndex.servicesOn(machine)
+    fun usedByServicesOn(machine: MachineId): Resources = placementIndex.usedByServicesOn(machine)
 
     /** What the placed tasks of [team] take. */
     fun usedBy(team: String): Resources = placementIndex.usedBy(team)
 
     /** The machines of one partition, by the pieces that its list is stored in. */
-    fun machineListsOf(part: Int): Map<Int, Map<MachineId, MachineRecord>> = machineCache.listsOf(part)
+    fun machineListsOf(partition: Int): Map<Int, Map<MachineId, MachineRecord>> = machineCache.listsOf(partition)
 
     /** Notes that everything up to [revision] has been applied. */
-    fun reached(revision: Long) {
+    fun advanceTo(revision: Long) {
         if (revision > this.revision) this.revision = revision
     }
 
@@ -178,7 +178,7 @@
             is Keys.Subject.Borrow -> claimCache.applyBorrow(MachineId(subject.machine), value, version)
             Keys.Subject.Leader -> claimCache.applyLeader(value, version)
             is Keys.Subject.Machine -> machineCache.applyMachine(MachineId(subject.machine), value)
-            is Keys.Subject.MachineList -> claimCache.removeBorrowEnds(machineCache.applyList(subject, value))
+            is Keys.Subject.MachineList -> claimCache.removeBorrowEndRevisions(machineCache.applyList(subject, value))
             is Keys.Subject.Types -> machineCache.applyTypes(subject.piece, value)
             is Keys.Subject.Node -> controllerCache.applyNode(NodeId(subject.node), value)
             is Keys.Subject.Format -> controllerCache.applyFormat(NodeId(subject.node), value)
--- a/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
@@ -19,14 +19,14 @@
     private val machinesById = HashMap<MachineId, KnownMachine>()
     private val idsByList = HashMap<Keys.Subject.MachineList, Set<MachineId>>()
     private val typePieces = TreeMap<Int, List<MachineType>>()
-    private var totalCpus = 0.0
-    private var totalCpusEpoch = NEVER
+    private var cachedTotalCpus = 0.0
+    private var cachedTotalCpusEpoch = NOT_COMPUTED
 
     /** All machines, from lists and from records of their own. */
     val machines: Map<MachineId, KnownMachine> get() = machinesById
 
     /** Machine types by name; empty until they are known. */
-    var types: Map<String, MachineType> = emptyMap()
+    var machineTypes: Map<String, MachineType> = emptyMap()
         private set
 
     /** How many pieces the machine types are stored in. */
@@ -37,12 +37,12 @@
         private set
 
     /** Processors of all machines, computed anew when [controlEpoch] is not that of the last call. */
-    fun cpus(controlEpoch: Long): Double {
-        if (totalCpusEpoch != controlEpoch) {
-            totalCpusEpoch = controlEpoch
-            totalCpus = machinesById.values.sumOf { types[it.record.type]?.cpus ?: 0.0 }
+    fun totalCpus(controlEpoch: Long): Double {
+        if (cachedTotalCpusEpoch != controlEpoch) {
+            cachedTotalCpusEpoch = controlEpoch
+            cachedTotalCpus = machinesById.values.sumOf { machineTypes[it.record.type]?.cpus ?: 0.0 }
         }
-        return totalCpus
+        return cachedTotalCpus
     }
 
     /** A machine's own record, as earlier versions stored it, was written, or deleted if [value] is null. */
@@ -100,7 +100,7 @@
     ) {
         typePieces.applyRecord(piece, value, MachineTypePieces::decode)
         // Types stay known while their records are replaced.
-        if (typePieces.isNotEmpty()) types = typePieces.values.flatten().associateBy { it.name }
+        if (typePieces.isNotEmpty()) machineTypes = typePieces.values.flatten().associateBy { it.name }
     }
 
     /** The machines of one partition, by the pieces that its list is stored in. */
@@ -111,6 +111,6 @@
         ids.mapNotNull { id -> machinesById[id]?.let { id to it.record } }.toMap()
 
     private companion object {
-        const val NEVER = -1L
+        const val NOT_COMPUTED = -1L
     }
 }
--- a/src/main/kotlin/mintpick/engine/cache/MachineTypePieces.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineTypePieces.kt
@@ -14,14 +14,14 @@
 
     /**
      * [types] in as few records as fit into values of [valueBytes] each, where a type larger than that has a record of its
-     * own. One record, whatever its size, if [isWhole].
+     * own. One record, whatever its size, if [asSingleRecord].
      */
     fun encode(
         types: List<MachineType>,
         valueBytes: Double,
-        isWhole: Boolean,
+        asSingleRecord: Boolean,
     ): List<JsonElement> {
-        if (isWhole) return listOf(encodePiece(types))
+        if (asSingleRecord) return listOf(encodePiece(types))
         val pieces = ArrayList<List<MachineType>>()
         for (type in types) {
             val extended = pieces.lastOrNull().orEmpty() + type
--- a/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
+++ b/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
@@ -36,7 +36,7 @@
     fun usedOn(machine: MachineId): Resources = loads[machine]?.used ?: Resources.ZERO
 
     /** What services and production work take of [machine]. */
-    fun servicesOn(machine: MachineId): Resources = loads[machine]?.usedByServices ?: Resources.ZERO
+    fun usedByServicesOn(machine: MachineId): Resources = loads[machine]?.usedByServices ?: Resources.ZERO
 
     /** What the placed tasks of [team] take. */
     fun usedBy(team: String): Resources = usedByTeam[team] ?: Resources.ZERO
--- a/src/main/kotlin/mintpick/engine/capacity/BootingMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BootingMachines.kt
@@ -94,7 +94,7 @@
 
     /** Boot time that the cloud names for the machine's type; 0 if the type is unknown. */
     private fun nominalBootUs(machine: BootingMachine): Micros {
-        val bootS = context.cache.types[machine.offer.type]?.bootS ?: 0.0
+        val bootS = context.cache.machineTypes[machine.offer.type]?.bootS ?: 0.0
         return (bootS * SECOND).toLong()
     }
 
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
@@ -40,10 +40,10 @@
     }
 
     private fun mayPlan(): Boolean =
-        leaderStatus.isActiveLeader && cache.types.isNotEmpty() && leaderStatus.servingForUs >= PLAN_DELAY_AFTER_LOAD
+        leaderStatus.isActiveLeader && cache.machineTypes.isNotEmpty() && leaderStatus.servingForUs >= PLAN_DELAY_AFTER_LOAD
 
     private fun plan(): ScaleOutPlan {
-        val planner = ScaleOutPlanner(cache.types, context.settings.zones, scaleOut::bootsSlowly, scaleOut::isAvailable)
+        val planner = ScaleOutPlanner(cache.machineTypes, context.settings.zones, scaleOut::bootsSlowly, scaleOut::isAvailable)
         val candidates: List<CandidateMachine> = capacityView.rooms()
         val demands = demandForecast.waiting(candidates) + demandForecast.expected()
         return planner.plan(candidates, demands.sortedBy { !it.spec.isService }, MAX_NEW_MACHINES)
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
@@ -50,7 +50,7 @@
 
     private fun listedCandidates(): List<CandidateMachine> =
         cache.machines.values.mapNotNull { machine ->
-            val type = cache.types[machine.record.type]
+            val type = cache.machineTypes[machine.record.type]
             if (type == null || !isUsable(machine)) null else candidateOn(machine, type)
         }
 
@@ -62,7 +62,7 @@
     private fun isLeaving(machine: MachineId): Boolean {
         val view = agents.view(machine) ?: return false
         if (!shardClaims.controls(machine)) return false
-        return !agents.isFresh(view) || commandPlanner.isDraining(view, shardClaims.control(machine))
+        return !agents.isFresh(view) || commandPlanner.isDraining(view, shardClaims.controlClaim(machine))
     }
 
     private fun candidateOn(
@@ -72,7 +72,7 @@
         val record = machine.record
         val free = type.capacity - cache.usedOn(machine.id)
         // Services may have what batch work holds, so it is no reason to rent more for them.
-        val preemptible = cache.usedOn(machine.id) - cache.servicesOn(machine.id)
+        val preemptible = cache.usedOn(machine.id) - cache.usedByServicesOn(machine.id)
         return CandidateMachine(
             machine.id,
             type.name,
@@ -102,7 +102,7 @@
         id: MachineId,
         offer: Offer,
     ): CandidateMachine? {
-        val size: Resources = cache.types[offer.type]?.capacity ?: return null
+        val size: Resources = cache.machineTypes[offer.type]?.capacity ?: return null
         return CandidateMachine(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, isOwned = true, isUp = false)
     }
 
@@ -121,7 +121,7 @@
         )
     }
 
-    private fun cpusOf(machine: KnownMachine): Double = cache.types[machine.record.type]?.cpus ?: 0.0
+    private fun cpusOf(machine: KnownMachine): Double = cache.machineTypes[machine.record.type]?.cpus ?: 0.0
 
     private companion object {
         /** Which images a machine has does not matter for the capacity that is needed. */
--- a/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
@@ -52,7 +52,7 @@
         job: Job,
         quota: TeamQuota,
     ): Int {
-        val count = minOf(scheduler.startable(job), quota.tasks(job.spec))
+        val count = minOf(scheduler.startableTasks(job), quota.tasks(job.spec))
         quota.take(job.spec, count)
         return count
     }
@@ -66,15 +66,15 @@
         val quota = scheduler.teamQuota()
         var queuedCpuSeconds = 0.0
         val demands = ArrayList<CapacityDemand>()
-        for (job in scheduler.order(cache.waitingJobs())) {
+        for (job in scheduler.inQueueOrder(cache.waitingJobs())) {
             val spec = job.spec
             // What its team's limit holds back now takes its time on the machines all the same.
-            queuedCpuSeconds += scheduler.startable(job) * spec.cpus * spec.estimateS
+            queuedCpuSeconds += scheduler.startableTasks(job) * spec.cpus * spec.estimateS
             val count = takeRunnable(job, quota)
             if (count == 0) continue
-            val keepsToSpot = scheduler.keepsToSpot(job)
+            val keepsToSpot = scheduler.isSpotOnly(job)
             val queuesTooLong = queuedCpuSeconds > maxQueueS(spec) * spotCpus
-            demands += CapacityDemand(spec, count, scheduler.zonesOf(job), !keepsToSpot && queuesTooLong, keepsToSpot)
+            demands += CapacityDemand(spec, count, scheduler.tasksPerZone(job), !keepsToSpot && queuesTooLong, keepsToSpot)
         }
         return mergeDemands(demands).take(MAX_DEMANDS)
     }
--- a/src/main/kotlin/mintpick/engine/capacity/IdleMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/IdleMachines.kt
@@ -32,7 +32,7 @@
         val idle =
             unused
                 .mapNotNull { cache.machines[it] }
-                .filterNot { machineRegistry.isMarkedForScaleIn(it.id) }
+                .filterNot { machineRegistry.hasPendingScaleIn(it.id) }
                 .sortedBy { it.id.text }
         val due = dueForDraining(idle)
         val count = maxOf(MIN_DRAINED, due.size / DRAINED_PART)
--- a/src/main/kotlin/mintpick/engine/capacity/MachineTypeCatalog.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/MachineTypeCatalog.kt
@@ -6,7 +6,7 @@
 import mintpick.engine.cache.MachineTypePieces
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.engine.state.Write
 import mintpick.net.Outcome
@@ -19,7 +19,7 @@
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val shardClaims: ShardClaims,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val cloud: CloudClient,
 ) {
     private var nextFetchUs: Micros = 0
@@ -29,7 +29,7 @@
     /** Fetches the types when that is due: the leader regularly, any other controller while it knows of none. */
     fun tick() {
         if (context.now < nextFetchUs) return
-        if (cache.types.isNotEmpty() && !shardClaims.isLeader) return
+        if (cache.machineTypes.isNotEmpty() && !shardClaims.isLeader) return
         if (!cloud.readBudget.take(context.now, 1.0)) return
         nextFetchUs = context.now + RETRY_INTERVAL
         context.call(cloud.protocol.types(), ::onFetched)
@@ -39,12 +39,12 @@
         val result = cloud.protocol.readTypes(outcome)
         if (result !is CloudProtocol.Result.Ok || result.value.types.isEmpty()) return
         nextFetchUs = context.now + FETCH_INTERVAL
-        if (result.value.types != cache.types.values.toList()) store(result.value.types)
+        if (result.value.types != cache.machineTypes.values.toList()) store(result.value.types)
     }
 
     /** Types that one value can't hold go on in further pieces, which versions that know only one do not read. */
     private fun store(types: List<MachineType>) {
-        val pieces = MachineTypePieces.encode(types, formats.valueBytes, formats.current == RecordFormat.VERBOSE)
+        val pieces = MachineTypePieces.encode(types, formats.maxValueBytes, formats.current == RecordFormat.VERBOSE)
         val writes = pieces.mapIndexed { i, value -> Write(Keys.types(i), value) }
         val obsolete = (pieces.size until cache.machineTypePieceCount).map { Write(Keys.types(it), null) }
         (writes + obsolete)
--- a/src/main/kotlin/mintpick/engine/capacity/NoticedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/NoticedMachines.kt
@@ -27,14 +27,14 @@
             if (!isNoticed(view)) continue
             val retiring = cache.machines[view.id]?.record?.retiring
             if (retiring == Retiring.NO) machineRegistry.markForScaleIn(view.id, Retiring.DRAIN, "notice")
-            if (hasTasksToStop(view)) agents.push(view.id)
+            if (hasTasksToStop(view)) agents.pushCommands(view.id)
         }
     }
 
     private fun isNoticed(view: MachineView): Boolean =
         view.noticeEndsUs != null &&
             shardClaims.controls(view.id) &&
-            commandPlanner.isNoticed(view, shardClaims.control(view.id))
+            commandPlanner.hasTerminationNotice(view, shardClaims.controlClaim(view.id))
 
     private fun hasTasksToStop(view: MachineView): Boolean = view.reported.any { (attempt, task) -> isToStop(view, attempt, task) }
 
--- a/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
@@ -47,7 +47,7 @@
             failingSinceUs: Micros,
         ): Boolean {
             val count = countByZone[zoneOf(view)] ?: 0
-            return count > 1 && agents.reachedIn(zoneOf(view)) < failingSinceUs
+            return count > 1 && agents.lastReachedInZone(zoneOf(view)) < failingSinceUs
         }
     }
 
@@ -59,7 +59,7 @@
     /** Probes late machines and marks those for release that have been unresponsive for long enough. */
     fun check() {
         if (context.now - stateStore.servingSinceUs < SETTLING_TIME) return
-        val monitored = agents.controlled.mapNotNull(agents::view).filter(::isMonitored)
+        val monitored = agents.controlledMachines.mapNotNull(agents::view).filter(::isMonitored)
         val serving = monitored.filterTo(HashSet(), ::servesUsers)
         probeLate(monitored, serving)
         val unresponsive = monitored.filter { isSilent(it, it in serving) || isOneWay(it) }
@@ -75,7 +75,7 @@
         return record.retiring == Retiring.NO || cache.tasksOn(view.id).isNotEmpty()
     }
 
-    private fun servesUsers(view: MachineView): Boolean = cache.servicesOn(view.id).cpus > Resources.EPSILON
+    private fun servesUsers(view: MachineView): Boolean = cache.usedByServicesOn(view.id).cpus > Resources.EPSILON
 
     private fun probeLate(
         monitored: List<MachineView>,
@@ -84,7 +84,7 @@
         // Probing hundreds of machines every second would cost more than what it finds out.
         val probeInterval = maxOf(SERVING_PROBE_INTERVAL, serving.size * SECOND / MAX_PROBES_PER_SECOND)
         val late = monitored.filter { silenceOf(it) > if (it in serving) probeInterval else maxReportGapUs }
-        val (reachable, partitioned) = late.partition { health.heardFromZone(zoneOf(it), context.now - ZONE_SILENCE) }
+        val (reachable, partitioned) = late.partition { health.hasHintFromZone(zoneOf(it), context.now - ZONE_SILENCE) }
         (reachable + sampleOf(partitioned)).forEach { agents.probe(it.id) }
     }
 
@@ -100,10 +100,10 @@
     ) {
         val failingSinceUs = agents.unreachableSince(view.id) ?: return
         val isOneWay = isOneWay(view)
-        val sinceUs = if (isOneWay) failingSinceUs else agents.silentSince(view.id)
+        val sinceUs = if (isOneWay) failingSinceUs else agents.noContactSince(view.id)
         val mayBeOwnFault = unreachable.areMany || unreachable.isWholeZone(view, failingSinceUs)
         // Peers heard after the first call that failed: the way to the machine's zone was open when it did not respond.
-        val wasZoneReachable = health.heardFromZone(zoneOf(view), failingSinceUs) && isZoneReachable(view)
+        val wasZoneReachable = health.hasHintFromZone(zoneOf(view), failingSinceUs) && isZoneReachable(view)
         val isOverdue = context.now - sinceUs > releaseDelay(view, mayBeOwnFault, wasZoneReachable)
         if (isOverdue) machineRegistry.markForScaleIn(view.id, Retiring.NOW, if (isOneWay) "one-way" else "silent")
     }
@@ -131,9 +131,9 @@
     ): Micros {
         val leaseUs = context.settings.leaseUs
         return when {
-            !wasZoneReachable -> leaseUs * PARTITIONED_LEASES + LEASE_MARGIN + health.maxRenewalOnBehalfUs(zoneOf(view))
+            !wasZoneReachable -> leaseUs * PARTITIONED_LEASES + LEASE_MARGIN + health.maxPeerRenewalUs(zoneOf(view))
             // A controller that reaches them adopts them by then.
-            agents.isCutOff -> leaseUs + LEASE_MARGIN
+            agents.isIsolatedFromAgents -> leaseUs + LEASE_MARGIN
             mayBeOwnFault -> minOf(maxReportGapUs + ADOPTION_TIME, leaseUs)
             else -> 0
         }
@@ -146,7 +146,7 @@
     ): Boolean {
         val failedCalls = agents.failedCalls(view.id)
         val silence = silenceOf(view)
-        if (failedCalls == 0 || health.heardElsewhere(view.id, within = silence)) return false
+        if (failedCalls == 0 || health.hasHeartbeatElsewhere(view.id, within = silence)) return false
         if (!isServing) return silence > maxReportGapUs + SERVING_PROBE_INTERVAL
         return failedCalls >= MIN_FAILED_CALLS && silence > SERVING_PROBE_INTERVAL * 2
     }
@@ -162,7 +162,7 @@
 
     private fun zoneOf(view: MachineView): String? = cache.machines[view.id]?.record?.zone
 
-    private fun silenceOf(view: MachineView): Micros = context.now - agents.silentSince(view.id)
+    private fun silenceOf(view: MachineView): Micros = context.now - agents.noContactSince(view.id)
 
     private companion object {
         /** Up to so many unreachable machines are not many, however few are monitored. */
--- a/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
@@ -35,7 +35,7 @@
     fun stage(id: JobId): JobStage? = status(id)?.stage
 
     /** The stage of a job that is over; null for all others. */
-    fun finalStage(id: JobId): JobStage? = cache.final(id)?.let { it.stage.asJobStage() }
+    fun finalStage(id: JobId): JobStage? = cache.finalJob(id)?.let { it.stage.asJobStage() }
 
     /** Answers with [stage]. */
     fun sendStage(
@@ -59,7 +59,7 @@
         id: JobId,
         reply: ReplyTo,
         otherwise: () -> Answer,
-    ) = stateStore.caughtUp { ok ->
+    ) = stateStore.afterCatchUp { ok ->
         val stage = stage(id)
         when {
             !ok -> context.send(reply, stateStoreUnavailable())
@@ -88,13 +88,13 @@
     fun stateStoreUnavailable(): Answer = unavailable("the state service does not answer")
 
     /** An answer that has the user ask again in a moment. */
-    fun unavailable(message: String): Answer = errorAnswer(HttpStatus.UNAVAILABLE, message, RETRY_S)
+    fun unavailable(message: String): Answer = errorAnswer(HttpStatus.UNAVAILABLE, message, RETRY_AFTER_S)
 
     /** The answer to a submission beyond what can be stored in time. */
-    fun tooManySubmissions(): Answer = errorAnswer(HttpStatus.TOO_MANY_REQUESTS, "too many submissions", RETRY_S)
+    fun tooManySubmissions(): Answer = errorAnswer(HttpStatus.TOO_MANY_REQUESTS, "too many submissions", RETRY_AFTER_S)
 
     private fun status(id: JobId): JobStatus? {
-        cache.final(id)?.let { return finalStatus(id, it) }
+        cache.finalJob(id)?.let { return finalStatus(id, it) }
         val job = cache.job(id) ?: return null
         val stage =
             when {
@@ -121,6 +121,6 @@
         }
 
     private companion object {
-        const val RETRY_S = 1
+        const val RETRY_AFTER_S = 1
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/JobAvailability.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobAvailability.kt
@@ -18,7 +18,7 @@
     private val oversizedUntilUs = HashMap<JobId, Micros>()
 
     /** Whether [job] may be planned now. */
-    fun isFree(job: JobId): Boolean {
+    fun isAvailable(job: JobId): Boolean {
         if (job in inFlight || context.now < (oversizedUntilUs[job] ?: 0)) return false
         val revision = outdatedUntilRevision[job] ?: return true
         if (context.cache.revision < revision) return false
@@ -27,12 +27,12 @@
     }
 
     /** A transaction that writes [jobs] is in flight. */
-    fun begin(jobs: Collection<JobId>) {
+    fun markInFlight(jobs: Collection<JobId>) {
         inFlight += jobs
     }
 
     /** The outcome of the transaction that writes [jobs] is known, or known to stay unknown. */
-    fun end(jobs: Collection<JobId>) {
+    fun clearInFlight(jobs: Collection<JobId>) {
         inFlight -= jobs.toSet()
     }
 
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionPartBuilder.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdatePartBuilder.kt
@@ -3,7 +3,7 @@
 import mintpick.core.Job
 import mintpick.core.demand
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.Write
 import mintpick.engine.transactions.JobUpdate
 import mintpick.engine.transactions.MachineDemand
@@ -15,9 +15,9 @@
 import mintpick.wire.StoredStage
 
 /** Builds the guards and writes that store drafts of job updates. Sends nothing. Event-loop thread only. */
-internal class TransactionPartBuilder(
+internal class JobUpdatePartBuilder(
     context: EngineContext,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val specStorage: SpecStorage,
     private val pendingRequests: PendingRequests,
 ) {
@@ -28,17 +28,17 @@
             .mapTo(HashSet()) { it.name }
 
     /** What stores [draft], or pieces of its specification if they have to be stored before it. */
-    fun build(draft: JobUpdate): TransactionPart = specStorage.fitValues(draft.before, draft.job) { job -> partOf(draft, job) }
+    fun build(draft: JobUpdate): TransactionPart = specStorage.buildWithinValueLimit(draft.before, draft.job) { job -> partOf(draft, job) }
 
     private fun partOf(
         draft: JobUpdate,
         job: Job,
     ): TransactionPart {
-        val touched = draft.changedChunks
+        val changedChunks = draft.changedChunks
         return TransactionPart(
             job = job.id,
-            guards = guards(draft, job, touched),
-            writes = writes(draft, job, touched),
+            guards = guards(draft, job, changedChunks),
+            writes = writes(draft, job, changedChunks),
             placementDemands = draft.placed.map { MachineDemand(it.machine, job.spec.demand) },
             requeued = draft.requeued,
             limitedTeam = job.spec.team.takeIf { it in limitedTeams && draft.placed.isNotEmpty() },
@@ -49,13 +49,13 @@
     private fun guards(
         draft: JobUpdate,
         job: Job,
-        touched: Set<Int>,
+        changedChunks: Set<Int>,
     ): Set<Guard> {
         val guards = LinkedHashSet<Guard>()
         guards += Guard(Keys.job(job.id.text), draft.before.version)
         // Once the main record refers to the pieces nobody writes them any more.
         if (job.specPieces != draft.before.specPieces) guards += specStorage.pieceGuards(job)
-        for (index in touched) {
+        for (index in changedChunks) {
             if (index != MAIN_CHUNK) guards += Guard(Keys.chunk(job.id.text, index), draft.before.chunk(index).version)
         }
         guards += draft.guards
@@ -65,17 +65,17 @@
     private fun writes(
         draft: JobUpdate,
         job: Job,
-        touched: Set<Int>,
+        changedChunks: Set<Int>,
     ): List<Write> {
         val writes = ArrayList<Write>()
         val finalStage = finalStage(draft, job)
         val key = Keys.job(job.id.text)
         if (finalStage != null) {
             writes += Write(key, RecordCodec.finalJson(finalStage, job.spec.tasks))
-        } else if (MAIN_CHUNK in touched || job.stage != draft.before.stage) {
+        } else if (MAIN_CHUNK in changedChunks || job.stage != draft.before.stage) {
             writes += Write(key, RecordCodec.jobJson(job, formats.current))
         }
-        for (index in touched) {
+        for (index in changedChunks) {
             if (index != MAIN_CHUNK) writes += chunkWrite(job, index, isFinal = finalStage != null)
         }
         return writes
--- a/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
@@ -6,7 +6,7 @@
 import mintpick.core.SECOND
 import mintpick.core.predecessorIds
 import mintpick.dependencies.CriticalPaths
-import mintpick.dependencies.JobDemand
+import mintpick.dependencies.JobRequirements
 import mintpick.dependencies.Urgency
 import mintpick.engine.runtime.EngineContext
 
@@ -22,13 +22,13 @@
 
     /** The urgency of [job]; its latest start is a time of day. */
     fun of(job: Job): Urgency {
-        followCache()
+        resetIfCacheReplaced()
         val hasSuccessors =
             context.cache.dependencies
                 .successors(job.id)
                 .isNotEmpty()
         val inherited = if (hasSuccessors) criticalPaths.urgency(job.id) else null
-        return inherited ?: demand(job).ownUrgency()
+        return inherited ?: requirements(job).ownUrgency()
     }
 
     /**
@@ -38,26 +38,26 @@
     fun readySinceUs(job: Job): Micros {
         if (job.spec.predecessorIds.isEmpty()) return job.submittedUs
         if (releasedSinceUs.size > MAX_RELEASED_JOBS) releasedSinceUs.keys.removeIf { context.cache.job(it) == null }
-        return releasedSinceUs.getOrPut(job.id) { context.wall }
+        return releasedSinceUs.getOrPut(job.id) { context.wallClockUs }
     }
 
     /** The records may have been read anew, with a new graph. */
-    private fun followCache() {
+    private fun resetIfCacheReplaced() {
         if (cache === context.cache) return
         cache = context.cache
         criticalPaths = newCriticalPaths()
     }
 
-    private fun newCriticalPaths() = CriticalPaths(context.cache.dependencies) { id -> context.cache.job(id)?.let(::demand) }
+    private fun newCriticalPaths() = CriticalPaths(context.cache.dependencies) { id -> context.cache.job(id)?.let(::requirements) }
 
-    private fun demand(job: Job) =
-        JobDemand(
+    private fun requirements(job: Job) =
+        JobRequirements(
             job.spec.priority,
             job.spec.deadlineS?.let { job.submittedUs + (it * SECOND).toLong() },
             (job.spec.estimateS * SECOND).toLong(),
         )
 
-    private fun JobDemand.ownUrgency() = Urgency(priority, dueUs?.minus(runUs))
+    private fun JobRequirements.ownUrgency() = Urgency(priority, deadlineUs?.minus(expectedRunUs))
 
     private companion object {
         /** Beyond it jobs that are over are forgotten. */
--- a/src/main/kotlin/mintpick/engine/jobs/MachineReservations.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/MachineReservations.kt
@@ -9,19 +9,19 @@
     private val reserved = HashMap<MachineId, Resources>()
 
     /** What is reserved on [machine]. */
-    fun on(machine: MachineId): Resources = reserved[machine] ?: Resources.ZERO
+    fun reservedOn(machine: MachineId): Resources = reserved[machine] ?: Resources.ZERO
 
     /** Reserves what placements take that have been sent. */
-    fun reserve(demands: List<MachineDemand>) = demands.forEach { set(it.machine, on(it.machine) + it.demand) }
+    fun reserve(demands: List<MachineDemand>) = demands.forEach { set(it.machine, reservedOn(it.machine) + it.demand) }
 
     /** Releases what placements took whose outcome is known, or known to stay unknown. */
-    fun release(demands: List<MachineDemand>) = demands.forEach { set(it.machine, on(it.machine) - it.demand) }
+    fun release(demands: List<MachineDemand>) = demands.forEach { set(it.machine, reservedOn(it.machine) - it.demand) }
 
     private fun set(
         machine: MachineId,
         amount: Resources,
     ) {
-        val isNothing = amount.cpus <= Resources.EPSILON && amount.memoryGb <= Resources.EPSILON
-        if (isNothing) reserved.remove(machine) else reserved[machine] = amount
+        val isZero = amount.cpus <= Resources.EPSILON && amount.memoryGb <= Resources.EPSILON
+        if (isZero) reserved.remove(machine) else reserved[machine] = amount
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
@@ -15,7 +15,7 @@
 /** A request that waits to be stored, with all who wait for its answer. */
 sealed class PendingRequest(
     /** When the first of its users asked. */
-    val sinceUs: Micros,
+    val receivedUs: Micros,
 ) {
     /** Who waits for the answer, in the order in which they asked. */
     val replies = ArrayList<ReplyTo>()
@@ -28,13 +28,13 @@
 class PendingSubmission(
     /** What was submitted first under its id. */
     val spec: JobSpec,
-    sinceUs: Micros,
-) : PendingRequest(sinceUs)
+    receivedUs: Micros,
+) : PendingRequest(receivedUs)
 
 /** A cancellation that waits to be stored. */
 class PendingCancellation(
-    sinceUs: Micros,
-) : PendingRequest(sinceUs)
+    receivedUs: Micros,
+) : PendingRequest(receivedUs)
 
 /** The users' requests that wait to be stored, until each is answered once. Event-loop thread only. */
 class PendingRequests(
@@ -54,7 +54,7 @@
 
     /** What can be stored soon; more would only wait for an answer that can't come in time, so it is refused at once. */
     private val maxSubmissions =
-        maxOf(MIN_SUBMISSIONS, (context.settings.limits.writeRps / (context.settings.peers.size + 1) * QUEUE_S).toInt())
+        maxOf(MIN_SUBMISSIONS, (context.settings.limits.writeRps / (context.settings.peers.size + 1) * MAX_QUEUE_S).toInt())
 
     /** Whether as many submissions wait as can be stored in time. */
     val isFull: Boolean get() = submissionsById.size >= maxSubmissions
@@ -76,13 +76,13 @@
     }
 
     /** Answers what has been decided meanwhile, and refuses what has waited too long. */
-    fun settle() {
-        settle(submissionsById) { id -> cache.knows(id) }
-        settle(cancellationsById) { id -> cache.final(id) != null || cache.job(id)?.stage == StoredStage.CANCELLED }
+    fun answerDecidedOrExpired() {
+        answerDecidedOrExpired(submissionsById) { id -> cache.isKnown(id) }
+        answerDecidedOrExpired(cancellationsById) { id -> cache.finalJob(id) != null || cache.job(id)?.stage == StoredStage.CANCELLED }
     }
 
     /** The submission of [id] is stored: the first to submit it hears that it was created. */
-    fun submitted(id: JobId) {
+    fun onSubmissionStored(id: JobId) {
         // The answer to the write may come after the watch has shown what became of the job.
         val stage = answers.stage(id) ?: JobStage.QUEUED
         submissionsById.remove(id)?.replies?.forEachIndexed { index, reply ->
@@ -92,7 +92,7 @@
     }
 
     /** The cancellation of [id] is stored. */
-    fun cancelled(id: JobId) {
+    fun onCancellationStored(id: JobId) {
         cancellationsById.remove(id)?.replies?.forEach { answers.sendStage(id, JobStage.CANCELLED, it) }
     }
 
@@ -100,10 +100,11 @@
     internal fun submissionListener(
         id: JobId,
         pending: PendingSubmission,
-    ): TransactionListener = InFlightListener({ pending }) { submitted(id) }
+    ): TransactionListener = InFlightListener({ pending }) { onSubmissionStored(id) }
 
     /** Follows a transaction that stores the cancellation of [id], which may be asked for only after it has been sent. */
-    internal fun cancellationListener(id: JobId): TransactionListener = InFlightListener({ cancellationsById[id] }) { cancelled(id) }
+    internal fun cancellationListener(id: JobId): TransactionListener =
+        InFlightListener({ cancellationsById[id] }) { onCancellationStored(id) }
 
     private class InFlightListener(
         private val pending: () -> PendingRequest?,
@@ -120,7 +121,7 @@
         }
     }
 
-    private inline fun <R : PendingRequest> settle(
+    private inline fun <R : PendingRequest> answerDecidedOrExpired(
         requests: LinkedHashMap<JobId, R>,
         isDecided: (JobId) -> Boolean,
     ) {
@@ -131,7 +132,7 @@
             if (isDecided(id)) {
                 request.replies.forEach { answers.sendCurrentStage(id, it) }
                 entries.remove()
-            } else if (!stateStore.isReachable || context.now - request.sinceUs > MAX_WAIT) {
+            } else if (!stateStore.isReachable || context.now - request.receivedUs > MAX_WAIT) {
                 request.replies.forEach { context.send(it, answers.unavailable("could not be stored in time")) }
                 entries.remove()
             }
@@ -142,7 +143,7 @@
         const val MIN_SUBMISSIONS = 8
 
         /** Seconds of writes that the queue of submissions may hold. */
-        const val QUEUE_S = 2.5
+        const val MAX_QUEUE_S = 2.5
 
         /** Below the users' own timeout, so that the refusal reaches them. */
         const val MAX_WAIT: Micros = 3 * SECOND + 500 * MILLI
--- a/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
@@ -31,11 +31,11 @@
     fun tick() {
         if (!stateStore.isServing || !stateStore.isReachable || context.now < nextSweepUs) return
         nextSweepUs = context.now + SWEEP_INTERVAL
-        noteUnused()
+        trackUnused()
         unusedSinceUs.keys.firstOrNull(::isDue)?.let(::remove)
     }
 
-    private fun noteUnused() {
+    private fun trackUnused() {
         val unused = cache.jobsWithSpecPieces.filter { cache.job(it) == null && it !in pendingRequests.submissions }.toSet()
         unusedSinceUs.keys.retainAll(unused)
         unused.forEach { unusedSinceUs.putIfAbsent(it, context.now) }
@@ -47,10 +47,10 @@
     }
 
     /** A user who did not hear of the acceptance may submit the same job again for a minute. */
-    private fun retention(job: JobId): Micros = if (cache.final(job) == null) UNFINISHED_RETENTION else FINAL_RETENTION
+    private fun retention(job: JobId): Micros = if (cache.finalJob(job) == null) UNFINISHED_RETENTION else FINAL_RETENTION
 
     private fun remove(job: JobId) {
-        if (isRemoving || stateStore.writesAllowed() < SPARE_WRITES) return
+        if (isRemoving || stateStore.writesAllowed() < MIN_SPARE_WRITES) return
         val keys =
             cache
                 .specPieceNumbers(job)
@@ -69,6 +69,6 @@
         const val UNFINISHED_RETENTION: Micros = 120 * SECOND
 
         /** Writes that must be allowed beyond what others use before anything is removed. */
-        const val SPARE_WRITES = 3
+        const val MIN_SPARE_WRITES = 3
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
@@ -2,7 +2,7 @@
 
 import mintpick.core.Job
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.Write
 import mintpick.engine.transactions.TransactionLimits
 import mintpick.engine.transactions.TransactionPart
@@ -17,7 +17,7 @@
  */
 internal class SpecStorage(
     private val context: EngineContext,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val limits: TransactionLimits,
 ) {
     private val cache get() = context.cache
@@ -27,13 +27,13 @@
      * possible: with its specification where it is if that fits, otherwise the missing pieces of the specification of
      * [before], and once they are stored with a main record that refers to them.
      */
-    fun fitValues(
+    fun buildWithinValueLimit(
         before: Job,
         after: Job,
         build: (Job) -> TransactionPart,
     ): TransactionPart {
         val part = build(after)
-        if (part.valuesFit(formats.valueBytes)) return part
+        if (part.valuesFit(formats.maxValueBytes)) return part
         return missingPieces(before) ?: build(withSeparateSpec(after))
     }
 
@@ -49,7 +49,7 @@
         if (!isSeparable(job)) return null
         val missing = pieces(job).withIndex().filter { (index, text) -> cache.specPiece(job.id, index) != text }
         if (missing.isEmpty()) return null
-        val writes = missing.take(limits.changes).map { (index, text) -> Write(Keys.spec(job.id.text, index), SpecPieces.json(text)) }
+        val writes = missing.take(limits.maxChanges).map { (index, text) -> Write(Keys.spec(job.id.text, index), SpecPieces.json(text)) }
         // Late copies of these writes fail once the main record refers to the pieces, or the job has changed otherwise.
         return TransactionPart(job.id, setOf(Guard(Keys.job(job.id.text), job.version)), writes)
     }
@@ -59,5 +59,5 @@
     /** The oldest format has no separate specifications. */
     private fun isSeparable(job: Job): Boolean = job.specPieces == 0 && formats.current != RecordFormat.VERBOSE
 
-    private fun pieces(job: Job): List<String> = SpecPieces.split(job.spec, formats.valueBytes)
+    private fun pieces(job: Job): List<String> = SpecPieces.split(job.spec, formats.maxValueBytes)
 }
--- a/src/main/kotlin/mintpick/engine/jobs/SubmissionWriter.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SubmissionPartBuilder.kt
@@ -4,7 +4,7 @@
 import mintpick.core.JobId
 import mintpick.core.JobRecordInfo
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.Write
 import mintpick.engine.transactions.TransactionPart
 import mintpick.store.Keys
@@ -13,17 +13,17 @@
 import mintpick.wire.StoredStage
 
 /** Builds the first records of submitted jobs. Sends nothing. Event-loop thread only. */
-internal class SubmissionWriter(
+internal class SubmissionPartBuilder(
     private val context: EngineContext,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val specStorage: SpecStorage,
     private val pendingRequests: PendingRequests,
     private val availability: JobAvailability,
 ) {
     /** What stores the pending submissions that are not in flight, the oldest first. */
-    fun parts(): List<TransactionPart> =
+    fun build(): List<TransactionPart> =
         pendingRequests.submissions
-            .filter { (id, pending) -> !pending.isInFlight && availability.isFree(id) && !context.cache.knows(id) }
+            .filter { (id, pending) -> !pending.isInFlight && availability.isAvailable(id) && !context.cache.isKnown(id) }
             .map { (id, pending) -> partOf(id, pending) }
 
     /** The main record of a submission, or pieces of its specification if they have to be stored before it. */
@@ -31,8 +31,8 @@
         id: JobId,
         pending: PendingSubmission,
     ): TransactionPart {
-        val submitted = Job(id, pending.spec, StoredStage.OPEN, context.wall, JobRecordInfo(version = 0), emptyMap())
-        return specStorage.fitValues(submitted, submitted) { job -> mainRecord(job, pending) }
+        val submitted = Job(id, pending.spec, StoredStage.OPEN, context.wallClockUs, JobRecordInfo(version = 0), emptyMap())
+        return specStorage.buildWithinValueLimit(submitted, submitted) { job -> mainRecord(job, pending) }
     }
 
     private fun mainRecord(
--- a/src/main/kotlin/mintpick/engine/jobs/SubmissionValidator.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SubmissionValidator.kt
@@ -9,7 +9,7 @@
 import mintpick.core.isService
 import mintpick.core.predecessorIds
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.transactions.TransactionLimits
 import mintpick.store.SpecPieces
 import mintpick.wire.JobSpec
@@ -47,7 +47,7 @@
 /** Checks submissions against the settings, the machine types and what the records can hold. Event-loop thread only. */
 class SubmissionValidator(
     private val context: EngineContext,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val limits: TransactionLimits,
 ) {
     private val cache get() = context.cache
@@ -65,7 +65,7 @@
 
     /** Whether the records of this controller show all predecessors of [spec]. */
     fun checkPredecessors(spec: JobSpec): AdmissionResult {
-        val unknown = spec.predecessorIds.filterNot(cache::knows)
+        val unknown = spec.predecessorIds.filterNot(cache::isKnown)
         return if (unknown.isEmpty()) AdmissionResult.Accepted else AdmissionResult.UnknownPredecessors(unknown)
     }
 
@@ -81,7 +81,7 @@
     }
 
     private fun fitsAnyMachineType(spec: JobSpec): Boolean =
-        cache.types.values.any { type ->
+        cache.machineTypes.values.any { type ->
             (spec.types == null || type.name in spec.types) &&
                 (spec.zone == null || spec.zone in type.zones) &&
                 spec.demand.fits(type.capacity)
@@ -89,10 +89,10 @@
 
     /** Whether the specification fits into as many records as one transaction can guard together. */
     private fun canBeStored(spec: JobSpec): Boolean {
-        val names = spec.predecessors.orEmpty().size + spec.types.orEmpty().size
-        if (names < MIN_NAMES_TO_MEASURE) return true
-        val pieces = SpecPieces.split(spec, formats.valueBytes).size
-        return if (formats.allowsDependencies) pieces < limits.guards - 1 else pieces <= 1
+        val nameCount = spec.predecessors.orEmpty().size + spec.types.orEmpty().size
+        if (nameCount < MIN_NAMES_TO_MEASURE) return true
+        val pieces = SpecPieces.split(spec, formats.maxValueBytes).size
+        return if (formats.allowsDependencies) pieces < limits.maxGuards - 1 else pieces <= 1
     }
 
     /** Services and gangs need all their tasks at once, other jobs at least one. */
@@ -100,9 +100,9 @@
         spec: JobSpec,
         team: PlatformFile.TeamEntry,
     ): Boolean {
-        val least = if (spec.isService || spec.isGang) spec.demand * spec.tasks.toDouble() else spec.demand
-        val exceedsCpus = team.cpusMax > 0 && least.cpus > team.cpusMax + Resources.EPSILON
-        val exceedsGpus = team.gpusMax > 0 && least.gpus > team.gpusMax + Resources.EPSILON
+        val minimumDemand = if (spec.isService || spec.isGang) spec.demand * spec.tasks.toDouble() else spec.demand
+        val exceedsCpus = team.cpusMax > 0 && minimumDemand.cpus > team.cpusMax + Resources.EPSILON
+        val exceedsGpus = team.gpusMax > 0 && minimumDemand.gpus > team.gpusMax + Resources.EPSILON
         return exceedsCpus || exceedsGpus
     }
 
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -7,7 +7,7 @@
 import mintpick.core.demand
 import mintpick.engine.agents.CommandPlanner
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.engine.state.Write
 import mintpick.engine.transactions.TransactionBatch
@@ -28,7 +28,7 @@
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val commandPlanner: CommandPlanner,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
     private val limits: TransactionLimits,
 ) {
     /** A transaction whose outcome is not known yet. */
@@ -56,11 +56,11 @@
     val canSend: Boolean get() =
         stateStore.isServing &&
             stateStore.isReachable &&
-            stateStore.openTransactions < MAX_TRANSACTIONS_IN_FLIGHT &&
+            stateStore.inFlightTransactions < MAX_TRANSACTIONS_IN_FLIGHT &&
             stateStore.writesAllowed() > 0
 
     /** Whether no placement of [team] that raises its reservation is in flight. */
-    fun isTeamFree(team: String): Boolean = team !in limitedTeamsInFlight
+    fun isTeamAvailable(team: String): Boolean = team !in limitedTeamsInFlight
 
     /**
      * Sends [parts] in this order until a limit is reached, leaving [reservedWrites] of the allowed writes unused.
@@ -74,22 +74,22 @@
         var batch = newBatch()
         for (part in parts) {
             if (!batch.isEmpty && !batch.hasRoomFor(part)) {
-                transact(batch.parts)
+                sendTransaction(batch.parts)
                 batch = newBatch()
             }
             if (!mayWrite(batch, part, reservedWrites)) break
-            if (batch.hasRoomFor(part) && part.valuesFit(formats.valueBytes)) {
+            if (batch.hasRoomFor(part) && part.valuesFit(formats.maxValueBytes)) {
                 batch.add(part)
                 sent += part
             } else {
                 LOG.error("update fits no transaction job={} bytes={}", part.job.text, part.bytes)
             }
         }
-        if (!batch.isEmpty) transact(batch.parts)
+        if (!batch.isEmpty) sendTransaction(batch.parts)
         return sent
     }
 
-    private fun newBatch() = TransactionBatch(limits, takesSeveral = context.now >= singleJobUntilUs)
+    private fun newBatch() = TransactionBatch(limits, allowsMultipleParts = context.now >= singleJobUntilUs)
 
     /** Whether the limits of transactions and writes allow [batch] with [part]; a part that is larger alone may go when one write is left. */
     private fun mayWrite(
@@ -97,50 +97,50 @@
         part: TransactionPart,
         reservedWrites: Int,
     ): Boolean {
-        if (stateStore.openTransactions >= MAX_TRANSACTIONS_IN_FLIGHT) return false
+        if (stateStore.inFlightTransactions >= MAX_TRANSACTIONS_IN_FLIGHT) return false
         return batch.writesWith(part) <= maxOf(1, stateStore.writesAllowed() - reservedWrites)
     }
 
-    private fun transact(parts: List<TransactionPart>) {
+    private fun sendTransaction(parts: List<TransactionPart>) {
         val writes = LinkedHashMap<String, Write>()
         parts.forEach { part -> part.writes.forEach { writes[it.key] = it } }
         val guards = LinkedHashSet<Guard>()
         parts.forEach { guards += it.guards }
-        val transaction = InFlight(parts, reserveTeams(parts, guards, writes))
-        begin(transaction)
+        val transaction = InFlight(parts, addTeamReservations(parts, guards, writes))
+        markInFlight(transaction)
         stateStore.transact(guards.toList(), writes.values.toList()) { result ->
-            end(transaction)
-            settleRequeues(transaction.requeued, result)
-            handle(result, parts)
+            clearInFlight(transaction)
+            notifyRequeueOutcome(transaction.requeued, result)
+            handleOutcome(result, parts)
         }
     }
 
-    private fun begin(transaction: InFlight) {
-        availability.begin(transaction.jobs)
+    private fun markInFlight(transaction: InFlight) {
+        availability.markInFlight(transaction.jobs)
         limitedTeamsInFlight += transaction.limitedTeams
         transaction.parts.forEach { reservations.reserve(it.placementDemands) }
         transaction.parts.forEach { it.listener.onSent() }
-        commandPlanner.requeueSent(transaction.requeued)
+        commandPlanner.onRequeueSent(transaction.requeued)
     }
 
-    private fun end(transaction: InFlight) {
-        availability.end(transaction.jobs)
+    private fun clearInFlight(transaction: InFlight) {
+        availability.clearInFlight(transaction.jobs)
         limitedTeamsInFlight -= transaction.limitedTeams
         transaction.parts.forEach { reservations.release(it.placementDemands) }
     }
 
-    private fun settleRequeues(
+    private fun notifyRequeueOutcome(
         requeued: List<AttemptId>,
         result: TransactionResult,
     ) {
         when (result) {
             is TransactionResult.Committed -> Unit
-            TransactionResult.Unknown -> commandPlanner.requeueUnknown(requeued)
-            else -> commandPlanner.requeueFailed(requeued)
+            TransactionResult.Unknown -> commandPlanner.onRequeueOutcomeUnknown(requeued)
+            else -> commandPlanner.onRequeueFailed(requeued)
         }
     }
 
-    private fun handle(
+    private fun handleOutcome(
         result: TransactionResult,
         parts: List<TransactionPart>,
     ) {
@@ -148,16 +148,16 @@
             is TransactionResult.Committed -> parts.forEach { it.listener.onCommitted() }
             is TransactionResult.Conflict -> onConflict(parts, result)
             TransactionResult.TooLarge -> onTooLarge(parts)
-            TransactionResult.Refused, TransactionResult.LeaseGone -> notCommitted(parts)
+            TransactionResult.Refused, TransactionResult.LeaseGone -> notifyNotCommitted(parts)
             TransactionResult.Unknown -> {
                 // It may be carried out later: its guards keep that harmless.
-                notCommitted(parts)
-                stateStore.caughtUp { }
+                notifyNotCommitted(parts)
+                stateStore.afterCatchUp { }
             }
         }
     }
 
-    private fun notCommitted(parts: List<TransactionPart>) = parts.forEach { it.listener.onNotCommitted() }
+    private fun notifyNotCommitted(parts: List<TransactionPart>) = parts.forEach { it.listener.onNotCommitted() }
 
     /** Jobs whose guards failed wait until the watch has brought the conflicting change. */
     private fun onConflict(
@@ -171,12 +171,12 @@
             val isOutdated = part.guards.any { it.key in failed }
             if (isOutdated) availability.waitForRevision(part.job, result.revision)
         }
-        stateStore.caughtUp { }
+        stateStore.afterCatchUp { }
     }
 
     /** Several jobs together were too large: they go one by one. One job alone was: it waits, the same again would fare no better. */
     private fun onTooLarge(parts: List<TransactionPart>) {
-        notCommitted(parts)
+        notifyNotCommitted(parts)
         if (parts.size > 1) {
             singleJobUntilUs = context.now + SINGLE_JOB_PERIOD
         } else {
@@ -188,7 +188,7 @@
      * Placements of teams with a limit raise the team's reservation, whose guard makes sure that the sum they were judged
      * by is current. Adds its guards and writes; returns these teams.
      */
-    private fun reserveTeams(
+    private fun addTeamReservations(
         parts: List<TransactionPart>,
         guards: MutableSet<Guard>,
         writes: MutableMap<String, Write>,
--- a/src/main/kotlin/mintpick/engine/jobs/UserRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/UserRequestHandler.kt
@@ -10,7 +10,7 @@
 import mintpick.wire.StoredStage
 
 /** The users' requests: each is answered once, from records that are current, or refused at once. Event-loop thread only. */
-class UserRequests(
+class UserRequestHandler(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val pendingRequests: PendingRequests,
@@ -29,7 +29,7 @@
         when {
             finalStage != null -> answers.sendStage(id, finalStage, reply)
             !stateStore.isServing || !stateStore.isReachable -> context.send(reply, answers.stateStoreUnavailable())
-            cache.types.isEmpty() -> context.send(reply, answers.unavailable("machine types are not known yet"))
+            cache.machineTypes.isEmpty() -> context.send(reply, answers.unavailable("machine types are not known yet"))
             cache.job(id) != null -> answers.sendCurrentStage(id, reply)
             pendingRequests.isFull -> context.send(reply, answers.tooManySubmissions())
             else -> submitNew(spec, reply)
@@ -48,7 +48,7 @@
                 answers.sendCurrentStageOr(id, reply) { errorAnswer(HttpStatus.UNPROCESSABLE, result.reason.text) }
             AdmissionResult.DependenciesNotSupportedYet ->
                 answers.sendCurrentStageOr(id, reply) { answers.unavailable("not all controllers know jobs that wait for others yet") }
-            is AdmissionResult.UnknownPredecessors -> submitOnceCurrent(spec, reply)
+            is AdmissionResult.UnknownPredecessors -> submitAfterCatchUp(spec, reply)
         }
     }
 
@@ -56,21 +56,21 @@
      * A job names others that our records do not show: those that another controller has accepted meanwhile they show once
      * they have caught up. What is unknown then was never accepted, unless it is being stored here at this moment.
      */
-    private fun submitOnceCurrent(
+    private fun submitAfterCatchUp(
         spec: JobSpec,
         reply: ReplyTo,
-    ) = stateStore.caughtUp { ok ->
+    ) = stateStore.afterCatchUp { ok ->
         val id = JobId(spec.id)
         val result = validator.checkPredecessors(spec)
         when {
             !ok -> context.send(reply, answers.stateStoreUnavailable())
-            cache.knows(id) -> answers.sendStage(id, answers.stage(id) ?: JobStage.QUEUED, reply)
-            result is AdmissionResult.UnknownPredecessors -> refuseUnknown(result.jobs, reply)
+            cache.isKnown(id) -> answers.sendStage(id, answers.stage(id) ?: JobStage.QUEUED, reply)
+            result is AdmissionResult.UnknownPredecessors -> rejectUnknownPredecessors(result.jobs, reply)
             else -> pendingRequests.addSubmission(spec, reply)
         }
     }
 
-    private fun refuseUnknown(
+    private fun rejectUnknownPredecessors(
         predecessors: List<JobId>,
         reply: ReplyTo,
     ) {
@@ -85,7 +85,7 @@
     }
 
     /** Refuses a submission that breaks the format. The id is looked up first: a job that was accepted never gets 400 when it is repeated. */
-    fun malformed(
+    fun rejectMalformed(
         id: JobId,
         reason: String,
         reply: ReplyTo,
@@ -103,11 +103,11 @@
         id: JobId,
         reply: ReplyTo,
     ) {
-        if (cache.final(id) != null) {
+        if (cache.finalJob(id) != null) {
             answers.sendStatus(id, reply)
             return
         }
-        stateStore.caughtUp { ok ->
+        stateStore.afterCatchUp { ok ->
             if (ok) answers.sendStatus(id, reply) else context.send(reply, answers.stateStoreUnavailable())
         }
     }
@@ -122,21 +122,21 @@
             finalStage != null -> answers.sendStage(id, finalStage, reply)
             !stateStore.isServing || !stateStore.isReachable -> context.send(reply, answers.stateStoreUnavailable())
             cache.job(id)?.stage == StoredStage.CANCELLED -> answers.sendStage(id, JobStage.CANCELLED, reply)
-            else -> cancelOnceCurrent(id, reply)
+            else -> cancelAfterCatchUp(id, reply)
         }
     }
 
-    private fun cancelOnceCurrent(
+    private fun cancelAfterCatchUp(
         id: JobId,
         reply: ReplyTo,
-    ) = stateStore.caughtUp { ok ->
+    ) = stateStore.afterCatchUp { ok ->
         when {
             !ok -> context.send(reply, answers.stateStoreUnavailable())
-            cache.knows(id) -> pendingRequests.addCancellation(id, reply)
+            cache.isKnown(id) -> pendingRequests.addCancellation(id, reply)
             else -> context.send(reply, answers.noSuchJob())
         }
     }
 
     /** Answers requests that have been decided or have waited too long. */
-    fun tick() = pendingRequests.settle()
+    fun tick() = pendingRequests.answerDecidedOrExpired()
 }
--- a/src/main/kotlin/mintpick/engine/jobs/WriteArbiter.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/WriteArbiter.kt
@@ -28,7 +28,7 @@
         val (cancellations, statusUpdates) = others.partition { it.job in pendingRequests.cancellations }
         if (statusUpdatesAhead < MAX_STATUS_UPDATES_AHEAD) lastAllowedUs = context.now
         // A placement that needs more writes than the limit ever allows must not hold the others up for good.
-        if (context.now - lastAllowedUs > MAX_STATUS_UPDATE_HOLD) statusUpdatesAhead = 0
+        if (context.now - lastAllowedUs > MAX_STATUS_UPDATE_DELAY) statusUpdatesAhead = 0
         val allowed = maxOf(0, MAX_STATUS_UPDATES_AHEAD - statusUpdatesAhead)
         return cancellations + placements + statusUpdates.take(allowed)
     }
@@ -36,15 +36,15 @@
     /** Notes what was [sent]; once no placement waits for writes, what was sent before does not count any more. */
     fun onSent(
         sent: List<TransactionPart>,
-        placementsWait: Boolean,
+        arePlacementsWaiting: Boolean,
     ) {
         val placements = sent.count { it.isPlacement }
         val others = sent.size - placements
-        statusUpdatesAhead = if (placementsWait) maxOf(0, statusUpdatesAhead + others - placements) else 0
+        statusUpdatesAhead = if (arePlacementsWaiting) maxOf(0, statusUpdatesAhead + others - placements) else 0
     }
 
     private companion object {
         const val MAX_STATUS_UPDATES_AHEAD = 2
-        const val MAX_STATUS_UPDATE_HOLD: Micros = 2 * SECOND
+        const val MAX_STATUS_UPDATE_DELAY: Micros = 2 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/ClaimAges.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimAges.kt
@@ -14,7 +14,7 @@
     )
 
     private val observed = HashMap<Int, ObservedClaim>()
-    private val unclaimedSince = HashMap<Int, Micros>()
+    private val unclaimedSinceUs = HashMap<Int, Micros>()
 
     /** Compares all claims with those of the last call. */
     fun observe() {
@@ -24,11 +24,11 @@
     private fun observe(shard: Int) {
         val claim = context.cache.claims[shard]
         if (claim == null) {
-            unclaimedSince.putIfAbsent(shard, context.now)
+            unclaimedSinceUs.putIfAbsent(shard, context.now)
             observed.remove(shard)
             return
         }
-        unclaimedSince.remove(shard)
+        unclaimedSinceUs.remove(shard)
         if (observed[shard]?.version != claim.version) observed[shard] = ObservedClaim(claim.version, context.now)
     }
 
@@ -36,5 +36,5 @@
     fun unchangedForUs(shard: Int): Micros? = observed[shard]?.let { context.now - it.sinceUs }
 
     /** For how long [shard] has been without a claim, in microseconds; 0 if it was not observed to be. */
-    fun unclaimedForUs(shard: Int): Micros = context.now - (unclaimedSince[shard] ?: context.now)
+    fun unclaimedForUs(shard: Int): Micros = context.now - (unclaimedSinceUs[shard] ?: context.now)
 }
--- a/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
@@ -15,29 +15,29 @@
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
 ) {
-    private val openKeys = HashSet<String>()
+    private val inFlightKeys = HashSet<String>()
 
     /**
      * Claims the [targets] that are in no open transaction, as many as one transaction carries, and raises the epochs of
-     * the shards [raisedEpochs] with them. [then] hears whether that was committed: not without a lease, nor while the
+     * the shards [epochShards] with them. [then] hears whether that was committed: not without a lease, nor while the
      * limits allow no write.
      */
     fun claim(
         targets: List<ClaimTarget>,
         reason: String,
-        raisedEpochs: Set<Int> = emptySet(),
+        epochShards: Set<Int> = emptySet(),
         then: (isCommitted: Boolean) -> Unit = {},
     ) {
         val record = claimRecord() ?: return then(false)
-        val maxTargets = maxOf(1, context.settings.limits.transactionOps - raisedEpochs.size)
-        val open = targets.filter { it.key !in openKeys }.take(maxTargets)
+        val maxTargets = maxOf(1, context.settings.limits.transactionOps - epochShards.size)
+        val open = targets.filter { it.key !in inFlightKeys }.take(maxTargets)
         if (open.isEmpty() || stateStore.writesAllowed() < 1) return then(false)
         val keys = open.map { it.key }
-        openKeys += keys
+        inFlightKeys += keys
         val claims = keys.map { Write(it, record, leased = true) }
-        val epochs = raisedEpochs.map { Write(Keys.epoch(it), record) }
+        val epochs = epochShards.map { Write(Keys.epoch(it), record) }
         stateStore.transact(open.map { it.guard }, claims + epochs) { result ->
-            openKeys -= keys.toSet()
+            inFlightKeys -= keys.toSet()
             if (result is TransactionResult.Committed) {
                 LOG.info("claimed keys={} token={} reason={}", keys.map { it.removePrefix(Keys.ROOT) }, result.revision, reason)
             }
@@ -47,8 +47,8 @@
 
     /** Deletes the record of [target], unless it is in an open transaction. */
     fun delete(target: ClaimTarget) {
-        if (!openKeys.add(target.key)) return
-        stateStore.transact(listOf(target.guard), listOf(Write(target.key, null))) { openKeys.remove(target.key) }
+        if (!inFlightKeys.add(target.key)) return
+        stateStore.transact(listOf(target.guard), listOf(Write(target.key, null))) { inFlightKeys.remove(target.key) }
     }
 
     private fun claimRecord(): JsonElement? {
--- a/src/main/kotlin/mintpick/engine/membership/ClusterContact.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClusterConnectivity.kt
@@ -1,10 +1,10 @@
 package mintpick.engine.membership
 
 /** Whom this controller is in contact with at the moment, which decides whether it may take shards and machines from others. */
-interface ClusterContact {
+interface ClusterConnectivity {
     /** Whether every other controller has sent a hint lately, so that shards may go back to their preferred controllers. */
-    val hearsAllPeers: Boolean
+    val hasHintsFromAllPeers: Boolean
 
     /** Whether our calls reach agents, so that machines that we take from other controllers are served. */
-    val reachesAgents: Boolean
+    val canReachAgents: Boolean
 }
--- a/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -19,7 +19,7 @@
     private val stateStore: StateStoreClient,
 ) {
     private val hints = PeerHints(context)
-    private val contacts = PeerContacts(context)
+    private val renewals = PeerRenewals(context)
     private val cancellations = PeerCancellations(context, stateStore)
     private val stateAgeUs: Micros get() = stateStore.lastServedUs?.let { context.now - it } ?: Long.MAX_VALUE
 
@@ -30,17 +30,17 @@
     fun tick() {
         cancellations.forgetRecorded()
         if (isHealthy()) {
-            contacts.observeLeases()
+            renewals.observeLeases()
         } else {
-            contacts.clearLeases()
+            renewals.clearLeases()
         }
     }
 
     /** [node] has answered a hint that left at [sentUs], so it had heard us by then. */
-    fun answeredBy(
+    fun onHintAcknowledged(
         node: NodeId,
         sentUs: Micros,
-    ) = contacts.answeredBy(node, sentUs)
+    ) = renewals.onHintAcknowledged(node, sentUs)
 
     /** A hint has come; one of a controller that is not configured is ignored. */
     fun onHint(hint: PeerHint) {
@@ -53,63 +53,63 @@
      * A peer's answer to a hint of ours that left at [sentUs]. Only this counts as its account of cancellations: a hint
      * that it sends by itself may have been held up on its way, and is then as old as its sending.
      */
-    fun onAnsweredHint(
+    fun onHintAnswer(
         hint: PeerHint,
         sentUs: Micros,
     ) {
         onHint(hint)
-        cancellations.onAnsweredHint(hint, sentUs)
+        cancellations.onHintAnswer(hint, sentUs)
     }
 
     /** Whether another controller that we hear has found that [job] fails wherever it runs. */
     fun isFaultyElsewhere(job: JobId): Boolean = hints.isFaultyElsewhere(job)
 
     /** Whether another controller has hinted at a cancellation of [job] that our records may not show yet. */
-    fun cancelledElsewhere(job: JobId): Boolean = cancellations.isHinted(job)
+    fun isCancelledElsewhere(job: JobId): Boolean = cancellations.isHinted(job)
 
     /** Images on machines that other controllers have heard from [within] this time, by their recent hints. */
     fun hintedImages(within: Micros): Map<MachineId, Set<String>> = hints.hintedImages(within)
 
     /** Whether [node] could not place what waits there: its hint says so, or there is no recent one. */
-    fun lacksCapacity(node: NodeId): Boolean = hints.lacksCapacity(node)
+    fun mayLackCapacity(node: NodeId): Boolean = hints.mayLackCapacity(node)
 
     /** Whether there is a recent hint of [node]. */
-    fun hears(node: NodeId): Boolean = hints.hears(node)
+    fun hasRecentHint(node: NodeId): Boolean = hints.hasRecentHint(node)
 
     /** Whether every other controller has sent a hint after [since]. */
-    fun heardAllSince(since: Micros): Boolean = hints.heardAllSince(since)
+    fun hasHintsFromAllSince(since: Micros): Boolean = hints.hasHintsFromAllSince(since)
 
     /**
      * Whether a controller in [zone] has sent a hint after [since], so that the way there was open. In a cut between
      * zones peers fall silent with the machines, and a machine's silence says little. For our own zone any other
      * controller will do: we may be cut off ourselves.
      */
-    fun heardFromZone(
+    fun hasHintFromZone(
         zone: String?,
         since: Micros,
-    ): Boolean = hints.heardFromZone(zone, since)
+    ): Boolean = hints.hasHintFromZone(zone, since)
 
-    /** Since when the way to [zone] has been open without a break, by the same peers as [heardFromZone]; null: it may not be. */
+    /** Since when the way to [zone] has been open without a break, by the same peers as [hasHintFromZone]; null: it may not be. */
     fun zoneReachableSince(zone: String?): Micros? = hints.zoneReachableSince(zone)
 
     /**
-     * Whether [machine] has sent a heartbeat to some other controller [within] this time, as far as hints show; [to] narrows
+     * Whether [machine] has sent a heartbeat to some other controller [within] this time, as far as hints show; [peer] narrows
      * it to one.
      */
-    fun heardElsewhere(
+    fun hasHeartbeatElsewhere(
         machine: MachineId,
-        to: NodeId? = null,
+        peer: NodeId? = null,
         within: Micros = context.settings.reportUs + HEARTBEAT_MARGIN,
-    ): Boolean = hints.heardElsewhere(machine, to, within)
+    ): Boolean = hints.hasHeartbeatElsewhere(machine, peer, within)
 
     /** Whether the state service serves us and our lease holds. */
     fun isHealthy(): Boolean = stateStore.isServing && stateAgeUs < MAX_HEALTHY_STATE_AGE
 
     /** Whether the state service serves some peer while it does not serve us. */
-    fun peersServed(): Boolean = hints.isAnyServed(since = stateStore.lastServedUs ?: 0)
+    fun isAnyPeerServed(): Boolean = hints.isAnyPeerServed(since = stateStore.lastServedUs ?: 0)
 
     /** What `/up` says: not down in a shared outage, where no other controller would do better. */
-    fun isUp(): Boolean = stateStore.isServing && (stateAgeUs < MAX_UP_STATE_AGE || !peersServed())
+    fun isUp(): Boolean = stateStore.isServing && (stateAgeUs < MAX_UP_STATE_AGE || !isAnyPeerServed())
 
     /** Whether a task may still be started: not when its cancellation may have been confirmed for longer than a moment. */
     fun mayStartTasks(): Boolean = cancellations.unknownForUs() < MAX_START_CANCELLATION_AGE
@@ -121,18 +121,18 @@
      */
     fun mayAnswerAgents(): Boolean {
         if (cancellations.unknownForUs() >= maxRenewalUs) return false
-        return stateAgeUs < MAX_KEPT_STATE_AGE || !peersServed()
+        return stateAgeUs < MAX_KEPT_STATE_AGE || !isAnyPeerServed()
     }
 
     /**
      * Whether we may answer agents of our zone on behalf of [owner]: in a cut of the zone all that this controller
      * commands there would lose its leases within reach of us. Only while nobody is served whom we hear, we do not hear
-     * [owner], and a cancellation that we can't know of is not overdue. [answeredOnBehalfUntil] is what that controller
+     * [owner], and a cancellation that we can't know of is not overdue. [peerRenewalsUntil] is what that controller
      * takes into account for it.
      */
-    fun mayAnswerOnBehalfOf(owner: NodeId): Boolean {
-        if (stateAgeUs < MAX_KEPT_STATE_AGE || hears(owner) || peersServed()) return false
-        val recordsKnownUs = stateStore.recordsKnownUs ?: return false
+    fun mayAnswerAgentsOf(owner: NodeId): Boolean {
+        if (stateAgeUs < MAX_KEPT_STATE_AGE || hasRecentHint(owner) || isAnyPeerServed()) return false
+        val recordsKnownUs = stateStore.cacheAsOfUs ?: return false
         return context.now - recordsKnownUs < maxRenewalUs
     }
 
@@ -140,10 +140,10 @@
      * Until when another controller in [zone] may have renewed leases of our agents there; null: it can't be known. One
      * that has answered our hints without a break has not; one that has lost its lease could for a while only.
      */
-    fun answeredOnBehalfUntil(zone: String?): Micros? = contacts.answeredOnBehalfUntil(zone, maxRenewalUs)
+    fun peerRenewalsUntil(zone: String?): Micros? = renewals.peerRenewalsUntil(zone, maxRenewalUs)
 
     /** For how long at most another controller in [zone] may renew leases of our agents on our behalf, in microseconds. */
-    fun maxRenewalOnBehalfUs(zone: String?): Micros = if (context.settings.peers.any { it.zone == zone }) maxRenewalUs else 0
+    fun maxPeerRenewalUs(zone: String?): Micros = if (context.settings.peers.any { it.zone == zone }) maxRenewalUs else 0
 
     private companion object {
         /** How much later than its interval demands a heartbeat may show in a peer's hint. */
--- a/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
+++ b/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
@@ -14,9 +14,9 @@
     private val stateStore: StateStoreClient,
     private val directory: ShardDirectory,
     private val writer: ClaimWriter,
-    private val contact: ClusterContact,
+    private val connectivity: ClusterConnectivity,
 ) {
-    private val raisedAt = HashMap<String, Micros>()
+    private val lastRaiseUs = HashMap<String, Micros>()
 
     /** Who waits for the decision on the open failover of a shard. */
     private val failoverWaiters = HashMap<Int, MutableList<() -> Unit>>()
@@ -25,16 +25,16 @@
     /** See [ShardClaims.takeOver]. */
     fun takeOver(
         machine: MachineId,
-        whole: Boolean,
+        wholeShard: Boolean,
         from: NodeId,
         reason: String,
         then: () -> Unit,
     ) {
-        val claim = directory.control(machine)
+        val claim = directory.controlClaim(machine)
         val shard = directory.shard(machine)
         // Another controller may have taken it over while we asked the machine.
         if (claim == null || shard == null || claim.node != from) return then()
-        if (!whole || machine in cache.borrows) {
+        if (!wholeShard || machine in cache.borrows) {
             writer.claim(listOf(borrowTarget(machine)), reason, setOf(shard)) { then() }
         } else {
             takeOverShard(shard, claim.version, reason, then)
@@ -56,16 +56,16 @@
         }
     }
 
-    /** See [ShardClaims.raise]. */
+    /** See [ShardClaims.raiseToken]. */
     fun raiseToken(
         machine: MachineId,
         reason: String,
     ) {
-        val claim = directory.control(machine)
+        val claim = directory.controlClaim(machine)
         val key = directory.controlKey(machine)
         if (claim == null || key == null || !directory.isOwn(claim)) return
-        if (context.now - (raisedAt[key] ?: -MIN_RAISE_INTERVAL) < MIN_RAISE_INTERVAL) return
-        raisedAt[key] = context.now
+        if (context.now - (lastRaiseUs[key] ?: -MIN_RAISE_INTERVAL) < MIN_RAISE_INTERVAL) return
+        lastRaiseUs[key] = context.now
         writer.claim(listOf(ClaimTarget(key, claim.version)), reason)
     }
 
@@ -74,7 +74,7 @@
         machines: Collection<MachineId>,
         then: (MachineId) -> Unit,
     ) {
-        if (!directory.isLeader || !contact.reachesAgents) return
+        if (!directory.isLeader || !connectivity.canReachAgents) return
         // Each machine needs up to two writes: its own and its shard's epoch.
         val maxMachines = maxOf(1, context.settings.limits.transactionOps / 2)
         // A machine that another controller has borrowed is taken from it in the same way.
@@ -84,7 +84,7 @@
         writer.claim(wanted.map(::borrowTarget), "borrowed", shards) { isCommitted ->
             if (isCommitted) {
                 // Starts a catch-up, so that the records soon show all that the owners had placed there.
-                stateStore.caughtUp { }
+                stateStore.afterCatchUp { }
                 wanted.forEach(then)
             }
         }
--- a/src/main/kotlin/mintpick/engine/membership/PeerCancellations.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerCancellations.kt
@@ -28,7 +28,7 @@
     fun onHint(hint: PeerHint) = hint.cancelled.forEach { hintedUs[JobId(it)] = context.now }
 
     /** Takes in whether the answer to a hint of ours that left at [sentUs] held all cancellations that the peer confirmed. */
-    fun onAnsweredHint(
+    fun onHintAnswer(
         hint: PeerHint,
         sentUs: Micros,
     ) {
@@ -37,7 +37,7 @@
 
     /** Forgets the hints that our own records are new enough to show. */
     fun forgetRecorded() {
-        val recordsKnownUs = stateStore.recordsKnownUs ?: return
+        val recordsKnownUs = stateStore.cacheAsOfUs ?: return
         if (hintedUs.isNotEmpty()) hintedUs.values.removeIf { it < recordsKnownUs }
     }
 
@@ -48,6 +48,6 @@
      */
     fun unknownForUs(): Micros {
         val byAnswersUs = context.settings.peers.minOfOrNull { completeFromUs[NodeId(it.node)] ?: 0 } ?: context.now
-        return context.now - maxOf(stateStore.recordsKnownUs ?: 0, byAnswersUs)
+        return context.now - maxOf(stateStore.cacheAsOfUs ?: 0, byAnswersUs)
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
@@ -16,7 +16,7 @@
     /** A machine as a peer has hinted at it. */
     private class HintedMachine(
         /** Its newest heartbeat to that peer, on our clock. */
-        val reportedUs: Micros,
+        val heartbeatUs: Micros,
         val images: Set<String>,
     )
 
@@ -53,55 +53,55 @@
         val images = HashMap<MachineId, Set<String>>()
         for (peer in received.values.filter { it.isRecent() }) {
             for ((id, machine) in peer.machines) {
-                if (context.now - machine.reportedUs < within) images[MachineId(id)] = machine.images
+                if (context.now - machine.heartbeatUs < within) images[MachineId(id)] = machine.images
             }
         }
         return images
     }
 
-    fun lacksCapacity(node: NodeId): Boolean = !hears(node) || received[node]?.hint?.lacksRoom == true
+    fun mayLackCapacity(node: NodeId): Boolean = !hasRecentHint(node) || received[node]?.hint?.lacksRoom == true
 
-    fun hears(node: NodeId): Boolean = received[node]?.isRecent() ?: false
+    fun hasRecentHint(node: NodeId): Boolean = received[node]?.isRecent() ?: false
 
-    fun heardAllSince(since: Micros): Boolean = context.settings.peers.all { heardSince(it, since) }
+    fun hasHintsFromAllSince(since: Micros): Boolean = context.settings.peers.all { hasHintSince(it, since) }
 
-    private fun heardSince(
+    private fun hasHintSince(
         peer: Peer,
         since: Micros,
     ): Boolean = (received[NodeId(peer.node)]?.atUs ?: 0) > since
 
-    fun heardFromZone(
+    fun hasHintFromZone(
         zone: String?,
         since: Micros,
     ): Boolean {
-        val witnesses = witnesses(zone)
-        return witnesses.isEmpty() || witnesses.any { heardSince(it, since) }
+        val probePeers = probePeers(zone)
+        return probePeers.isEmpty() || probePeers.any { hasHintSince(it, since) }
     }
 
     fun zoneReachableSince(zone: String?): Micros? {
-        val witnesses = witnesses(zone)
-        if (witnesses.isEmpty()) return 0
-        return witnesses.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
+        val probePeers = probePeers(zone)
+        if (probePeers.isEmpty()) return 0
+        return probePeers.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
     }
 
     /** Peers whose hints show that [zone] can be reached: for our own zone all of them, since we may be cut off ourselves. */
-    private fun witnesses(zone: String?): List<Peer> {
+    private fun probePeers(zone: String?): List<Peer> {
         val inZone = context.settings.peers.filter { it.zone == zone }
         return if (zone == context.settings.zone || inZone.isEmpty()) context.settings.peers else inZone
     }
 
-    fun heardElsewhere(
+    fun hasHeartbeatElsewhere(
         machine: MachineId,
-        to: NodeId?,
+        peer: NodeId?,
         within: Micros,
     ): Boolean =
-        received.any { (node, peer) ->
-            val reportedUs = peer.machines[machine.text]?.reportedUs
-            (to == null || to == node) && reportedUs != null && context.now - reportedUs < within
+        received.any { (node, latest) ->
+            val heartbeatUs = latest.machines[machine.text]?.heartbeatUs
+            (peer == null || peer == node) && heartbeatUs != null && context.now - heartbeatUs < within
         }
 
     /** Whether the state service serves some peer, as its hint from after [since] says. */
-    fun isAnyServed(since: Micros): Boolean =
+    fun isAnyPeerServed(since: Micros): Boolean =
         received.values.any { it.isRecent() && it.hint.stateAgeUs in 0..MAX_SERVED_AGE && it.atUs > since }
 
     companion object {
--- a/src/main/kotlin/mintpick/engine/membership/PeerContacts.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerRenewals.kt
@@ -5,7 +5,7 @@
 import mintpick.engine.runtime.EngineContext
 
 /** Which peers have certainly received our hints, and which have lost their leases of the state service. */
-internal class PeerContacts(
+internal class PeerRenewals(
     private val context: EngineContext,
 ) {
     /** Hints of ours that a peer has answered without a break, by when they left. */
@@ -15,10 +15,10 @@
     )
 
     private val answered = HashMap<NodeId, AnsweredHints>()
-    private val leaseAbsentSince = HashMap<NodeId, Micros>()
+    private val leaseAbsentSinceUs = HashMap<NodeId, Micros>()
 
     /** [node] has answered a hint that left at [sentUs], so it had heard us by then. */
-    fun answeredBy(
+    fun onHintAcknowledged(
         node: NodeId,
         sentUs: Micros,
     ) {
@@ -34,40 +34,40 @@
         for (peer in context.settings.peers) {
             val node = NodeId(peer.node)
             if (node in context.cache.nodes) {
-                leaseAbsentSince.remove(node)
+                leaseAbsentSinceUs.remove(node)
             } else {
-                leaseAbsentSince.putIfAbsent(node, context.now)
+                leaseAbsentSinceUs.putIfAbsent(node, context.now)
             }
         }
     }
 
     /** Forgets for how long leases have been absent: our records may be out of date. */
-    fun clearLeases() = leaseAbsentSince.clear()
+    fun clearLeases() = leaseAbsentSinceUs.clear()
 
     /**
      * Until when a peer in [zone] may have answered agents on our behalf, which it does without a lease for
-     * [maxOnBehalfUs] at most; null: it can't be known. 0 if there is no peer there.
+     * [maxPeerRenewalUs] at most; null: it can't be known. 0 if there is no peer there.
      */
-    fun answeredOnBehalfUntil(
+    fun peerRenewalsUntil(
         zone: String?,
-        maxOnBehalfUs: Micros,
+        maxPeerRenewalUs: Micros,
     ): Micros? {
         var until: Micros = 0
         for (peer in context.settings.peers) {
             if (peer.zone != zone) continue
-            val peerUntil = answeredOnBehalfUntil(NodeId(peer.node), maxOnBehalfUs) ?: return null
+            val peerUntil = peerRenewalsUntil(NodeId(peer.node), maxPeerRenewalUs) ?: return null
             until = maxOf(until, peerUntil)
         }
         return until
     }
 
-    private fun answeredOnBehalfUntil(
+    private fun peerRenewalsUntil(
         node: NodeId,
-        maxOnBehalfUs: Micros,
+        maxPeerRenewalUs: Micros,
     ): Micros? {
         val unbroken = answered[node]?.takeIf { it.isUnbroken() }
         if (unbroken != null) return unbroken.firstSentUs
-        return leaseAbsentSince[node]?.let { it + maxOnBehalfUs }
+        return leaseAbsentSinceUs[node]?.let { it + maxPeerRenewalUs }
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
@@ -22,13 +22,13 @@
 class ShardClaims(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
-    contact: ClusterContact,
+    connectivity: ClusterConnectivity,
 ) {
     private val directory = ShardDirectory(context, stateStore)
     private val claimAges = ClaimAges(context, directory.shardCount)
     private val writer = ClaimWriter(context, stateStore)
-    private val rebalancer = ShardRebalancer(context, stateStore, directory, claimAges, writer, contact)
-    private val machineControl = MachineControl(context, stateStore, directory, writer, contact)
+    private val rebalancer = ShardRebalancer(context, stateStore, directory, claimAges, writer, connectivity)
+    private val machineControl = MachineControl(context, stateStore, directory, writer, connectivity)
     private var nextTickUs: Micros = 0
 
     /** Whether this controller is the leader. */
@@ -54,7 +54,7 @@
      * than the end of a borrowing gives none until it is written anew: commands of the borrower, some of them perhaps
      * still on their way, have higher tokens.
      */
-    fun control(machine: MachineId): Claim? = directory.control(machine)
+    fun controlClaim(machine: MachineId): Claim? = directory.controlClaim(machine)
 
     /** Whether this controller commands [machine]. */
     fun controls(machine: MachineId): Boolean = directory.controls(machine)
@@ -63,7 +63,7 @@
     fun isOwn(claim: Claim?): Boolean = directory.isOwn(claim)
 
     /** Whether the claim that commands [machine] is older than an agent needs to find its controller. */
-    fun isSettled(machine: MachineId): Boolean {
+    fun isClaimSettled(machine: MachineId): Boolean {
         if (machine in context.cache.borrows) return false
         val unchangedForUs = directory.shard(machine)?.let(claimAges::unchangedForUs) ?: return false
         return unchangedForUs > AGENT_REDIRECT_PERIOD
@@ -88,16 +88,16 @@
 
     /**
      * Takes over a machine that its controller [from] does not serve, and runs [then] when that is decided, or at once if
-     * [from] does not command it any more: with its whole shard if [whole], since a write for each of hundreds of machines
+     * [from] does not command it any more: with its whole shard if [wholeShard], since a write for each of hundreds of machines
      * would take longer than their leases.
      */
     fun takeOver(
         machine: MachineId,
-        whole: Boolean,
+        wholeShard: Boolean,
         from: NodeId,
         reason: String,
         then: () -> Unit,
-    ) = machineControl.takeOver(machine, whole, from, reason, then)
+    ) = machineControl.takeOver(machine, wholeShard, from, reason, then)
 
     /** Writes the record that commands [machine] anew, so that its token rises above all that was sent before. */
     fun raiseToken(
--- a/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
@@ -48,8 +48,8 @@
         return shardByMachine[machine]
     }
 
-    /** See [ShardClaims.control]. */
-    fun control(machine: MachineId): Claim? {
+    /** See [ShardClaims.controlClaim]. */
+    fun controlClaim(machine: MachineId): Claim? {
         cache.borrows[machine]?.let { return it }
         val claim = shard(machine)?.let { cache.claims[it] } ?: return null
         return claim.takeUnless { isSuperseded(machine, it) }
@@ -59,7 +59,7 @@
     fun isSuperseded(
         machine: MachineId,
         claim: Claim,
-    ): Boolean = claim.version < (cache.borrowEnds[machine] ?: 0)
+    ): Boolean = claim.version < (cache.borrowEndRevisions[machine] ?: 0)
 
     /** Key of the record that control of [machine] is claimed by; null: its zone is not known. */
     fun controlKey(machine: MachineId): String? =
@@ -69,7 +69,7 @@
     fun isOwn(claim: Claim?): Boolean = claim != null && claim.node == context.self && claim.lease == stateStore.lease
 
     /** Whether this controller commands [machine]. */
-    fun controls(machine: MachineId): Boolean = isOwn(control(machine))
+    fun controls(machine: MachineId): Boolean = isOwn(controlClaim(machine))
 
     /** See [ShardClaims.preferredController]. */
     fun preferredController(job: JobId): NodeId? = cache.claims[partition(job.text)]?.node
--- a/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
@@ -16,7 +16,7 @@
     private val directory: ShardDirectory,
     private val claimAges: ClaimAges,
     private val writer: ClaimWriter,
-    private val contact: ClusterContact,
+    private val connectivity: ClusterConnectivity,
 ) {
     private val cache get() = context.cache
     private val configuredNodes = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
@@ -27,8 +27,8 @@
         claimLeader()
         restoreShards()
         restoreBorrows()
-        renewSuperseded()
-        claimFree()
+        renewSupersededClaims()
+        claimFreeShards()
         rebalance()
     }
 
@@ -56,9 +56,9 @@
     }
 
     /** Own claims that a borrowing has superseded are written anew, so that their token exceeds the borrower's. */
-    private fun renewSuperseded() {
+    private fun renewSupersededClaims() {
         val shards =
-            cache.borrowEnds.keys.mapNotNullTo(HashSet()) { machine ->
+            cache.borrowEndRevisions.keys.mapNotNullTo(HashSet()) { machine ->
                 directory.shard(machine)?.takeIf { shard ->
                     val claim = cache.claims[shard]
                     claim != null && directory.isOwn(claim) && directory.isSuperseded(machine, claim)
@@ -68,29 +68,30 @@
         if (targets.isNotEmpty()) writer.claim(targets, "superseded")
     }
 
-    private fun claimFree() {
+    private fun claimFreeShards() {
         val free = (0 until directory.shardCount).filter { it !in cache.claims }
         if (free.isEmpty()) return
         // Just after a start the others are about to come, too: each takes what it is preferred for among all.
         val nodes = if (isStarting) configuredNodes else liveNodes()
-        val held = cache.claims.values.count { it.node == context.self }
+        val owned = cache.claims.values.count { it.node == context.self }
         val share = ceilDiv(directory.shardCount, maxOf(1, nodes.size))
         val maxWait = maxWaitForPreferred(nodes)
         val wanted = free.filter { preferredNode(it, nodes) == context.self || claimAges.unclaimedForUs(it) > maxWait }
-        val targets = wanted.take((share - held).coerceAtLeast(0)).map { ClaimTarget(Keys.shard(it), 0) }
+        val targets = wanted.take((share - owned).coerceAtLeast(0)).map { ClaimTarget(Keys.shard(it), 0) }
         if (targets.isNotEmpty()) writer.claim(targets, "free")
     }
 
     /** For how long a free shard is left to the node that it is preferred for; the others then try one after the other. */
     private fun maxWaitForPreferred(nodes: List<NodeId>): Micros {
         val rank = nodes.indexOf(context.self).coerceAtLeast(0)
-        return (rank + 1) * STAGGER + if (isStarting) START_PERIOD else 0
+        return (rank + 1) * CLAIM_STAGGER + if (isStarting) START_PERIOD else 0
     }
 
     /** Claims of long standing are taken back by their preferred nodes, so that each controller has its share of every zone. */
     private fun rebalance() {
         // Only while all are in touch: so what each is to hold does not change with those that come and go.
-        if (context.now - stateStore.servingSinceUs < START_PERIOD || !contact.hearsAllPeers || !contact.reachesAgents) return
+        if (context.now - stateStore.servingSinceUs < START_PERIOD) return
+        if (!connectivity.hasHintsFromAllPeers || !connectivity.canReachAgents) return
         val misplaced = cache.claims.filter { (shard, claim) -> isMisplaced(shard, claim) }
         if (misplaced.isNotEmpty()) writer.claim(shardTargets(misplaced), "rebalanced")
     }
@@ -124,7 +125,7 @@
         const val START_PERIOD: Micros = 3 * SECOND
 
         /** Between the attempts of controllers at a shard that none of them is preferred for. */
-        const val STAGGER: Micros = 300 * MILLI
+        const val CLAIM_STAGGER: Micros = 300 * MILLI
 
         /** For how long a claim has stood at least before it is taken from its holder. */
         const val MIN_CLAIM_AGE: Micros = 25 * SECOND
--- a/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
@@ -29,19 +29,19 @@
         private set
 
     /** Time of day of the current step, in microseconds since the epoch. */
-    var wall: Micros = 0
+    var wallClockUs: Micros = 0
         private set
     private val effects = ArrayList<Effect>()
     private val callbacks = HashMap<Long, (Outcome) -> Unit>()
     private var lastCall = 0L
 
-    /** Begins a step at steady time [now] and time of day [wall], both in microseconds. */
-    fun begin(
+    /** Begins a step at steady time [now] and time of day [wallClockUs], both in microseconds. */
+    fun startStep(
         now: Micros,
-        wall: Micros,
+        wallClockUs: Micros,
     ) {
         this.now = now
-        this.wall = wall
+        this.wallClockUs = wallClockUs
     }
 
     /** The effects since the last call of this function, in the order in which they were asked for. */
--- a/src/main/kotlin/mintpick/engine/runtime/Events.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/Events.kt
@@ -54,7 +54,7 @@
     ) : Event
 
     /** The status page is asked for. */
-    class Inspect(
+    class StatusRequest(
         val reply: ReplyTo,
     ) : Event
 
--- a/src/main/kotlin/mintpick/engine/scheduling/AssignmentAges.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/AssignmentAges.kt
@@ -9,19 +9,19 @@
 internal class AssignmentAges(
     private val context: EngineContext,
 ) {
-    private val firstSeenUs = HashMap<AttemptId, Micros>()
-    private var cleanAboveEntries = MIN_ENTRIES_TO_CLEAN
+    private val firstSeenByAttempt = HashMap<AttemptId, Micros>()
+    private var cleanupThreshold = MIN_CLEANUP_THRESHOLD
 
-    /** Notes what is assigned to the [touched] machines, and forgets assignments that are over once there are many. */
-    fun observe(touched: Collection<MachineId>) {
-        for (machine in touched) {
+    /** Notes what is assigned to the [changedMachines] machines, and forgets assignments that are over once there are many. */
+    fun observe(changedMachines: Collection<MachineId>) {
+        for (machine in changedMachines) {
             for ((task, attempt) in context.cache.tasksOn(machine)) {
-                firstSeenUs.putIfAbsent(AttemptId(task, attempt), context.now)
+                firstSeenByAttempt.putIfAbsent(AttemptId(task, attempt), context.now)
             }
         }
-        if (firstSeenUs.size <= cleanAboveEntries) return
-        firstSeenUs.keys.removeIf { !isAssigned(it) }
-        cleanAboveEntries = maxOf(MIN_ENTRIES_TO_CLEAN, firstSeenUs.size * 2)
+        if (firstSeenByAttempt.size <= cleanupThreshold) return
+        firstSeenByAttempt.keys.removeIf { !isAssigned(it) }
+        cleanupThreshold = maxOf(MIN_CLEANUP_THRESHOLD, firstSeenByAttempt.size * 2)
     }
 
     private fun isAssigned(attempt: AttemptId): Boolean {
@@ -30,12 +30,12 @@
     }
 
     /** When [attempt] was first seen; now if it is new. */
-    fun sinceUs(attempt: AttemptId): Micros = firstSeenUs[attempt] ?: context.now
+    fun firstSeenUs(attempt: AttemptId): Micros = firstSeenByAttempt[attempt] ?: context.now
 
     /** For how long [attempt] has been assigned, as far as this controller has seen it. */
-    fun ageUs(attempt: AttemptId): Micros = context.now - sinceUs(attempt)
+    fun ageUs(attempt: AttemptId): Micros = context.now - firstSeenUs(attempt)
 
     private companion object {
-        const val MIN_ENTRIES_TO_CLEAN = 5_000
+        const val MIN_CLEANUP_THRESHOLD = 5_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/MachineCandidates.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
@@ -11,7 +11,7 @@
 import mintpick.engine.agents.Reconciler
 import mintpick.engine.cache.Claim
 import mintpick.engine.cache.KnownMachine
-import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.membership.ControllerHealth
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
@@ -19,7 +19,7 @@
 import mintpick.wire.Retiring
 
 /** Which machines may be given work, and how much room they have. Event-loop thread only. */
-class MachineCandidates(
+class CandidateFinder(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
@@ -27,7 +27,7 @@
     private val reconciler: Reconciler,
     private val health: ControllerHealth,
 ) {
-    private class Candidate(
+    private class ClaimedMachine(
         val machine: KnownMachine,
         val claim: Claim,
         val isOwn: Boolean,
@@ -38,28 +38,28 @@
     private val cache get() = context.cache
 
     /** How many machines this controller commands, whether or not they may be given work. */
-    val ownMachineCount: Int get() = agents.controlled.size
+    val ownMachineCount: Int get() = agents.controlledMachines.size
 
     /** Room on this controller's own machines, less what [jobUpdates] has under way. */
-    fun ownCandidates(jobUpdates: JobUpdates): List<CandidateMachine> =
-        agents.controlled.mapNotNull { id ->
+    fun ownCandidates(jobUpdates: JobUpdateWriter): List<CandidateMachine> =
+        agents.controlledMachines.mapNotNull { id ->
             val machine = cache.machines[id] ?: return@mapNotNull null
-            val claim = shardClaims.control(id)
+            val claim = shardClaims.controlClaim(id)
             if (claim == null || !shardClaims.isOwn(claim)) return@mapNotNull null
-            candidateOn(Candidate(machine, claim, isOwn = true, emptySet()), jobUpdates)
+            toCandidate(ClaimedMachine(machine, claim, isOwn = true, emptySet()), jobUpdates)
         }
 
     /** Room on the other controllers' machines that they have heard from lately. */
-    fun othersCandidates(jobUpdates: JobUpdates): List<CandidateMachine> =
+    fun peerCandidates(jobUpdates: JobUpdateWriter): List<CandidateMachine> =
         health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
             val machine = cache.machines[id] ?: return@mapNotNull null
-            val claim = shardClaims.control(id)
+            val claim = shardClaims.controlClaim(id)
             if (claim == null || shardClaims.isOwn(claim)) return@mapNotNull null
-            candidateOn(Candidate(machine, claim, isOwn = false, images), jobUpdates)
+            toCandidate(ClaimedMachine(machine, claim, isOwn = false, images), jobUpdates)
         }
 
     /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
-    fun zonesOf(job: Job): Map<String, Int> {
+    fun tasksPerZone(job: Job): Map<String, Int> {
         if (!job.spec.spread && !job.spec.oneZone) return emptyMap()
         val counts = HashMap<String, Int>()
         for ((_, placement) in job.placements()) {
@@ -69,41 +69,41 @@
         return counts
     }
 
-    private fun candidateOn(
-        candidate: Candidate,
-        jobUpdates: JobUpdates,
+    private fun toCandidate(
+        claimed: ClaimedMachine,
+        jobUpdates: JobUpdateWriter,
     ): CandidateMachine? {
-        val machine = candidate.machine
-        val type = cache.types[machine.record.type]
-        if (type == null || !mayTakeWork(machine)) return null
+        val machine = claimed.machine
+        val type = cache.machineTypes[machine.record.type]
+        if (type == null || !acceptsWork(machine)) return null
         val view = agents.view(machine.id)
-        if (view != null && commandPlanner.isDraining(view, candidate.claim)) return null
-        val isSettling = candidate.isOwn && agents.isAcquiring(machine.id)
-        if (candidate.isOwn && !isSettling && !isUsable(view)) return null
+        if (view != null && commandPlanner.isDraining(view, claimed.claim)) return null
+        val isAcquiring = claimed.isOwn && agents.isAwaitingConfirmation(machine.id)
+        if (claimed.isOwn && !isAcquiring && !isUsable(view)) return null
         return CandidateMachine(
             machine = machine.id,
             type = machine.record.type,
             zone = machine.record.zone,
             spot = machine.record.spot,
-            free = freeOn(machine.id, type, jobUpdates),
+            free = freeResourcesOn(machine.id, type, jobUpdates),
             total = type.capacity,
-            hasImage = { view?.hasImage(it) == true || it in candidate.hintedImages },
-            isOwned = candidate.isOwn,
-            preemptible = cache.usedOn(machine.id) - cache.servicesOn(machine.id),
-            isReady = !isSettling,
+            hasImage = { view?.hasImage(it) == true || it in claimed.hintedImages },
+            isOwned = claimed.isOwn,
+            preemptible = cache.usedOn(machine.id) - cache.usedByServicesOn(machine.id),
+            isReady = !isAcquiring,
         )
     }
 
-    private fun mayTakeWork(machine: KnownMachine): Boolean =
+    private fun acceptsWork(machine: KnownMachine): Boolean =
         machine.record.retiring == Retiring.NO &&
             !reconciler.isTerminated(machine.id) &&
             reconciler.acceptsStarts(machine.id)
 
     /** What the records show as free, with what is known to have ended and without what is on its way to be stored. */
-    private fun freeOn(
+    private fun freeResourcesOn(
         machine: MachineId,
         type: MachineType,
-        jobUpdates: JobUpdates,
+        jobUpdates: JobUpdateWriter,
     ): Resources = type.capacity - cache.usedOn(machine) + reconciler.freedOn(machine) - jobUpdates.reservedOn(machine)
 
     /** In touch both ways: nothing is placed where commands may not arrive, however many heartbeats come. */
--- a/src/main/kotlin/mintpick/engine/scheduling/FaultyJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
@@ -10,7 +10,7 @@
 import mintpick.engine.runtime.EngineContext
 
 /** Holds back jobs that fail wherever they run, as any controller has found. Event-loop thread only. */
-class FaultyJobs(
+class FaultyJobThrottle(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val reconciler: Reconciler,
@@ -20,7 +20,7 @@
     fun mayRetry(job: JobId): Boolean = reconciler.mayRetry(job)
 
     /** How many of the waiting tasks of [job] may start now: of a faulty one a single probe, at its preferred controller. */
-    fun startable(job: Job): Int {
+    fun startableTasks(job: Job): Int {
         if (!isFaulty(job)) return job.waiting
         val preferred = shardClaims.preferredController(job.id)
         val probesHere = preferred == context.self || preferred == null
