--- a/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
@@ -15,25 +15,25 @@
 internal class FundedJobs(
     private val context: EngineContext,
 ) {
-    private var judgedUs: Micros = -REFRESH_INTERVAL
+    private var evaluatedUs: Micros = -REFRESH_INTERVAL
     private var funded: Set<JobId> = emptySet()
 
     operator fun contains(job: JobId): Boolean {
-        if (context.now - judgedUs >= REFRESH_INTERVAL) {
-            judgedUs = context.now
-            funded = judge()
+        if (context.now - evaluatedUs >= REFRESH_INTERVAL) {
+            evaluatedUs = context.now
+            funded = evaluate()
         }
         return job in funded
     }
 
-    private fun judge(): Set<JobId> {
+    private fun evaluate(): Set<JobId> {
         val byTeam =
             context.cache.jobs
                 .filter { it.stage == StoredStage.OPEN && it.isReleased }
                 .groupBy { it.spec.team }
         return context.settings.teams.flatMapTo(HashSet()) { team ->
             val guarantee = Resources(team.cpus, team.gpus, 0.0)
-            val jobs = byTeam[team.name].orEmpty().sortedWith(SUBMITTED_FIRST)
+            val jobs = byTeam[team.name].orEmpty().sortedWith(BY_SUBMISSION)
             FundingPolicy.funded(guarantee, jobs.map { UnfinishedJob(it.id, unfinishedDemand(it)) })
         }
     }
@@ -42,6 +42,6 @@
 
     private companion object {
         const val REFRESH_INTERVAL: Micros = SECOND / 10
-        val SUBMITTED_FIRST = compareBy<Job> { it.submittedUs }.thenBy { it.id.text }
+        val BY_SUBMISSION = compareBy<Job> { it.submittedUs }.thenBy { it.id.text }
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -30,7 +30,7 @@
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
     private val reconciler: Reconciler,
-    private val machineCandidates: MachineCandidates,
+    private val candidateFinder: CandidateFinder,
     private val jobUrgency: JobUrgency,
     placementSample: Int,
 ) {
@@ -54,9 +54,9 @@
         if (limit <= 0) return 0
         val found = findMachines(job, limit, candidates, pass)
         if (found.isEmpty() || isIncompleteGang(job, found.size, job.waiting)) return 0
-        hold(found, job, candidates, pass)
-        if (!pass.hasWriteFor(job)) return 0
-        val placeable = found.filter { isReady(it.machine, candidates) }
+        reserve(found, job, candidates, pass)
+        if (!pass.hasWriteBudgetFor(job)) return 0
+        val placeable = found.filter { isReadyForTasks(it.machine, candidates) }
         if (placeable.isEmpty() || isIncompleteGang(job, placeable.size, found.size)) return 0
         return draftPlacements(job, placeable, candidates, pass)
     }
@@ -66,8 +66,8 @@
         startable: Int,
         pass: PlacementPass,
     ): Int {
-        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return 0
-        return minOf(pass.teams.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
+        if (!pass.jobUpdates.isTeamAvailable(job.spec.team)) return 0
+        return minOf(pass.teamQuota.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
     }
 
     /** Gangs start whole or not at all. */
@@ -85,11 +85,11 @@
     ): Int {
         // Parts of jobs are placed now and then, not for each task that ends or machine that comes up, since each costs
         // a write: the room is held for them meanwhile.
-        val isPart = placeable.size < job.waiting
-        if (isPart && !pass.mayPlaceParts) return 0
+        val isPartial = placeable.size < job.waiting
+        if (isPartial && !pass.mayPlacePartially) return 0
         val draft = pass.draftOf(job.id) ?: return 0
         if (draft.job.stage != StoredStage.OPEN) return 0
-        if (isPart) pass.hasPlacedParts = true
+        if (isPartial) pass.hasPlacedPartially = true
         return assign(placeable, draft, candidates, pass)
     }
 
@@ -103,17 +103,17 @@
             PlacementRequest(
                 job.spec,
                 job.waitingTasks(),
-                machineCandidates.zonesOf(job),
+                candidateFinder.tasksPerZone(job),
                 limit,
                 pass.isOverloaded,
                 avoided = reconciler.failures.failedMachines(job.id),
-                spotOnly = keepsToSpot(job),
+                spotOnly = isSpotOnly(job),
             )
         return placer.place(request, candidates)
     }
 
     /** Holds the room of [found] for the rest of the pass, and asks for those machines that have to be borrowed first. */
-    private fun hold(
+    private fun reserve(
         found: List<PlacedTask>,
         job: Job,
         candidates: Candidates,
@@ -122,11 +122,11 @@
         for (placement in found) candidates.take(placement.machine, job.spec.demand)
         // A machine that is borrowed takes work only after the old owner has surely stopped placing there.
         for (placement in found) {
-            if (candidates[placement.machine]?.isOwned == false) pass.toBorrow += placement.machine
+            if (candidates[placement.machine]?.isOwned == false) pass.machinesToBorrow += placement.machine
         }
     }
 
-    private fun isReady(
+    private fun isReadyForTasks(
         machine: MachineId,
         candidates: Candidates,
     ): Boolean {
@@ -149,10 +149,10 @@
             if (machine !in machines && !mayAddMachine(machine, machines, draft)) continue
             if (!draft.place(placement.task, machine)) continue
             machines += machine
-            pass.teams.take(job.spec, 1)
+            pass.teamQuota.take(job.spec, 1)
             count++
         }
-        pass.writes += maxOf(1, draft.changedChunks.size)
+        pass.writesUsed += maxOf(1, draft.changedChunks.size)
         if (LOG.isDebugEnabled) {
             val isOnAllMachines = candidates !== pass.candidates.own
             LOG.debug("place job={} tasks={} machines={} all_shards={}", job.id.text, count, machines.size, isOnAllMachines)
@@ -177,11 +177,11 @@
         pass: PlacementPass,
     ): Boolean {
         if (job.spec.isGang) return false
-        if (!pass.jobUpdates.isTeamFree(job.spec.team)) return false
-        if (pass.teams.tasks(job.spec) <= 0) return false
-        val request = PlacementRequest(job.spec, job.waitingTasks(), machineCandidates.zonesOf(job), limit = 1, pass.isOverloaded)
+        if (!pass.jobUpdates.isTeamAvailable(job.spec.team)) return false
+        if (pass.teamQuota.tasks(job.spec) <= 0) return false
+        val request = PlacementRequest(job.spec, job.waitingTasks(), candidateFinder.tasksPerZone(job), limit = 1, pass.isOverloaded)
         val found = placer.place(request, candidates)
-        return found.any { (_, machine) -> isReady(machine, candidates) }
+        return found.any { (_, machine) -> isReadyForTasks(machine, candidates) }
     }
 
     /**
@@ -189,16 +189,16 @@
      * which would never be empty and returned with it, unless its tasks are short, or nothing of it runs and it has waited for
      * long: where there are no spot machines it is served all the same.
      */
-    fun keepsToSpot(job: Job): Boolean {
+    fun isSpotOnly(job: Job): Boolean {
         if (!job.spec.spot) return false
         if (jobUrgency.of(job).priority != Priority.LOW) return false
-        if (job.spec.estimateS <= SHORT_TASK_S) return false
-        return job.placed > 0 || context.wall - jobUrgency.readySinceUs(job) < SPOT_ONLY_FOR
+        if (job.spec.estimateS <= SHORT_TASK_MAX_S) return false
+        return job.placed > 0 || context.wallClockUs - jobUrgency.readySinceUs(job) < SPOT_ONLY_PERIOD
     }
 
     /** Borrows the machines that [pass] has found room on, if any, and pushes them their token once they are borrowed. */
-    fun borrowFor(pass: PlacementPass) {
-        if (pass.toBorrow.isNotEmpty()) shardClaims.borrow(pass.toBorrow, agents::push)
+    fun borrowMachines(pass: PlacementPass) {
+        if (pass.machinesToBorrow.isNotEmpty()) shardClaims.borrow(pass.machinesToBorrow, agents::pushCommands)
     }
 
     private companion object {
@@ -206,7 +206,7 @@
         const val MAX_TASKS_PER_PLACEMENT = 512
 
         /** Tasks that are over before their machine would be returned as idle, in seconds. */
-        const val SHORT_TASK_S = 20.0
-        const val SPOT_ONLY_FOR: Micros = 120 * SECOND
+        const val SHORT_TASK_MAX_S = 20.0
+        const val SPOT_ONLY_PERIOD: Micros = 120 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/JobQueue.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobQueue.kt
@@ -21,24 +21,24 @@
     private val sizeHandicap: Double,
 ) {
     /** All of [jobs], first the one to be served first. */
-    fun inOrder(jobs: Collection<Job>): List<Job> {
-        val clusterCpus = context.cache.cpus
-        val teamRanks = usageAccounting.teamRanks()
+    fun inQueueOrder(jobs: Collection<Job>): List<Job> {
+        val clusterCpus = context.cache.totalCpus
+        val fairShareRanks = usageAccounting.fairShareRanks()
         return jobs
-            .map { positionOf(it, clusterCpus, teamRanks) }
-            .sortedWith(QueuePosition.SERVED_FIRST)
+            .map { positionOf(it, clusterCpus, fairShareRanks) }
+            .sortedWith(QueuePosition.QUEUE_ORDER)
             .map { it.job }
     }
 
     private fun positionOf(
         job: Job,
         clusterCpus: Double,
-        teamRanks: TeamRanks,
+        fairShareRanks: FairShareRanks,
     ): QueuePosition {
         val isFunded = usageAccounting.isFunded(job.id)
         val urgency = jobUrgency.of(job)
-        val teamRank = teamRanks.of(job.spec.team)
-        return QueuePosition(job, isFunded, urgency.priority, teamRank, effectiveArrivalUs(job, urgency, clusterCpus))
+        val fairShareRank = fairShareRanks.of(job.spec.team)
+        return QueuePosition(job, isFunded, urgency.priority, fairShareRank, effectiveArrivalUs(job, urgency, clusterCpus))
     }
 
     /**
--- a/src/main/kotlin/mintpick/engine/scheduling/UnchangedJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobRecordAges.kt
@@ -6,12 +6,12 @@
 import mintpick.engine.runtime.EngineContext
 
 /** For how long this controller has seen the records of waiting jobs unchanged. Event-loop thread only. */
-internal class UnchangedJobs(
+internal class JobRecordAges(
     private val context: EngineContext,
 ) {
     private class Observation(
         val version: Long,
-        val sinceUs: Micros,
+        val firstSeenUs: Micros,
     )
 
     private val observations = HashMap<JobId, Observation>()
@@ -19,7 +19,7 @@
     /** Notes the version of [job], and returns for how long its record has not changed. */
     fun observe(job: Job): Micros {
         val earlier = observations[job.id]
-        if (earlier?.version == job.version) return context.now - earlier.sinceUs
+        if (earlier?.version == job.version) return context.now - earlier.firstSeenUs
         observations[job.id] = Observation(job.version, context.now)
         return 0
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -8,64 +8,64 @@
 import mintpick.core.TeamQuota
 import mintpick.core.isGang
 import mintpick.core.isProduction
-import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.transactions.JobUpdate
 
 /** The machines that one pass may place tasks on. What is taken of a machine is taken in both views. */
 class PassCandidates(
     /** The machines of this controller's shards and those that it borrows. */
     val own: Candidates,
-    others: () -> List<CandidateMachine>,
+    peers: () -> List<CandidateMachine>,
 ) {
     /**
      * Every controller's machines. Built only when asked for: only the leader needs them, and only for what no shard can hold.
      * It is sorted by what is free when it is first asked for.
      */
-    val all: Candidates by lazy { own.with(others()) }
+    val all: Candidates by lazy { own.with(peers()) }
 }
 
 /** What one scheduling pass works with, and what has come of it so far. */
 class PlacementPass(
-    val jobUpdates: JobUpdates,
+    val jobUpdates: JobUpdateWriter,
     /** The draft of a job's next transaction; null if the job can't be changed now. */
     val draftOf: (JobId) -> JobUpdate?,
     val candidates: PassCandidates,
-    val teams: TeamQuota,
+    val teamQuota: TeamQuota,
     /** So much waits that a sample of the machines has to do. */
     val isOverloaded: Boolean,
     /** Whether jobs may be placed in part in this pass. */
-    val mayPlaceParts: Boolean,
+    val mayPlacePartially: Boolean,
     /** Most writes that the drafts of this pass may need. */
     private val writeBudget: Int,
 ) {
     /** Machines of other controllers on which tasks of this pass would fit. */
-    val toBorrow = LinkedHashSet<MachineId>()
+    val machinesToBorrow = LinkedHashSet<MachineId>()
 
     /** Jobs that were not placed, or not whole, in the order of the queue. */
     val unschedulable = ArrayList<Job>()
 
     /** Writes that the placements of this pass need so far. */
-    var writes = 0
+    var writesUsed = 0
 
     /** Whether any job was placed in part. */
-    var hasPlacedParts = false
+    var hasPlacedPartially = false
 
     /** Whether a job found no room, as against no write. */
     var lacksCapacity = false
 
     /** Whether a job could have been placed, but for a write. */
-    var lacksWrites = false
+    var lacksWriteBudget = false
 
     /** Whether a write is left for [job]. Batch jobs keep a part of them from production: one write starts many of their tasks. */
-    fun hasWriteFor(job: Job): Boolean {
-        val most = if (job.spec.isProduction) maxOf(1, (writeBudget * PRODUCTION_WRITES_FRACTION).toInt()) else writeBudget
-        return writes < most
+    fun hasWriteBudgetFor(job: Job): Boolean {
+        val maxWrites = if (job.spec.isProduction) maxOf(1, (writeBudget * PRODUCTION_WRITES_FRACTION).toInt()) else writeBudget
+        return writesUsed < maxWrites
     }
 
     /** Whether nothing but room is missing for [job]. For what its team's limit holds back nobody has to be preempted. */
-    fun teamMayPlace(job: Job): Boolean {
-        val least = if (job.spec.isGang) job.waiting else 1
-        return jobUpdates.isTeamFree(job.spec.team) && teams.tasks(job.spec) >= least
+    fun teamAllows(job: Job): Boolean {
+        val minTasks = if (job.spec.isGang) job.waiting else 1
+        return jobUpdates.isTeamAvailable(job.spec.team) && teamQuota.tasks(job.spec) >= minTasks
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/scheduling/ControllerSelection.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
@@ -15,7 +15,7 @@
  * Which controller places which job, and on whose machines: the split of the project's design, on top of "Ai2 replaces GPU
  * priority scheduling with time budgets and fair share". Event-loop thread only.
  */
-class ControllerSelection(
+class PlacementScopePolicy(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val health: ControllerHealth,
@@ -37,7 +37,7 @@
         if (shardClaims.isLeader && needsAllMachines(job, unchangedUs, candidates)) return candidates.all
         val preferred = shardClaims.preferredController(job.id)
         if (preferred == context.self || preferred == null) return candidates.own
-        return if (mayHelp(job, preferred, unchangedUs)) candidates.own else null
+        return if (mayPlaceForPeer(job, preferred, unchangedUs)) candidates.own else null
     }
 
     private fun needsAllMachines(
@@ -45,38 +45,38 @@
         unchangedUs: Micros,
         candidates: PassCandidates,
     ): Boolean {
-        if (!isLarge(job, unchangedUs)) return false
+        if (!mayNeedAllMachines(job, unchangedUs)) return false
         // This controller's machines may hold a gang, were they empty, and never be empty at the same time.
-        val isUnschedulable = job.spec.isGang && unchangedUs >= LARGE_AFTER
-        return isUnschedulable || !candidates.own.couldHold(job.spec, job.waiting)
+        val isStarvedGang = job.spec.isGang && unchangedUs >= LEADER_FALLBACK_DELAY
+        return isStarvedGang || !candidates.own.couldHold(job.spec, job.waiting)
     }
 
     /** Placed whole or not at all, or unschedulable for a while. */
-    private fun isLarge(
+    private fun mayNeedAllMachines(
         job: Job,
         unchangedUs: Micros,
     ): Boolean {
-        if (unchangedUs < SECOND_HELPER_AFTER) return false
-        return job.spec.isGang || job.spec.oneZone || unchangedUs >= LARGE_AFTER
+        if (unchangedUs < SECOND_FALLBACK_DELAY) return false
+        return job.spec.isGang || job.spec.oneZone || unchangedUs >= LEADER_FALLBACK_DELAY
     }
 
     /** Whether this controller may place what [preferred] has no room for; one helper later, so that two rarely write at once. */
-    private fun mayHelp(
+    private fun mayPlaceForPeer(
         job: Job,
         preferred: NodeId,
         unchangedUs: Micros,
     ): Boolean {
-        val delay = if (isFirstHelper(job, preferred)) FIRST_HELPER_AFTER else SECOND_HELPER_AFTER
-        return health.lacksCapacity(preferred) && unchangedUs >= delay
+        val delay = if (isFirstFallback(job, preferred)) FIRST_FALLBACK_DELAY else SECOND_FALLBACK_DELAY
+        return health.mayLackCapacity(preferred) && unchangedUs >= delay
     }
 
     /** The job's id picks which of the two other controllers helps first. */
-    private fun isFirstHelper(
+    private fun isFirstFallback(
         job: Job,
         preferred: NodeId,
     ): Boolean {
-        val picked = Math.floorMod(job.id.text.hashCode(), 2)
-        return picked == if (isNextAfter(preferred)) 0 else 1
+        val firstFallbackIndex = Math.floorMod(job.id.text.hashCode(), 2)
+        return firstFallbackIndex == if (isNextAfter(preferred)) 0 else 1
     }
 
     private fun isNextAfter(controller: NodeId): Boolean {
@@ -85,10 +85,10 @@
     }
 
     private companion object {
-        const val FIRST_HELPER_AFTER: Micros = 200 * MILLI
-        const val SECOND_HELPER_AFTER: Micros = 1_500 * MILLI
+        const val FIRST_FALLBACK_DELAY: Micros = 200 * MILLI
+        const val SECOND_FALLBACK_DELAY: Micros = 1_500 * MILLI
 
         /** An array that fits on no controller's machines is the leader's only then: while a cluster boots, nothing fits anywhere. */
-        const val LARGE_AFTER: Micros = 15 * SECOND
+        const val LEADER_FALLBACK_DELAY: Micros = 15 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -54,37 +54,37 @@
     private val assignmentAges = AssignmentAges(context)
 
     /** Until when no room is sought for a job again. */
-    private val jobPausedUntil = HashMap<JobId, Micros>()
+    private val jobCooldownUntilUs = HashMap<JobId, Micros>()
 
     /** Until when a machine is left alone after a preemption. */
-    private val machinePausedUntil = HashMap<MachineId, Micros>()
+    private val machineCooldownUntilUs = HashMap<MachineId, Micros>()
     private val cache get() = context.cache
 
-    /** Notes new assignments on the [touched] machines. */
-    fun tick(touched: Collection<MachineId>) {
-        assignmentAges.observe(touched)
-        if (jobPausedUntil.size > PAUSES_TO_CLEAN) jobPausedUntil.values.removeIf { it < context.now }
+    /** Notes new assignments on the [changedMachines] machines. */
+    fun tick(changedMachines: Collection<MachineId>) {
+        assignmentAges.observe(changedMachines)
+        if (jobCooldownUntilUs.size > CLEANUP_THRESHOLD) jobCooldownUntilUs.values.removeIf { it < context.now }
     }
 
     /**
      * Preempts for tasks of [job], which found no room: a few at a time, on a sample of [rooms], as far as the job is entitled
-     * to it. [perZone] is how many of its tasks each zone holds already.
+     * to it. [tasksPerZone] is how many of its tasks each zone holds already.
      */
     fun preemptFor(
         job: Job,
         candidates: Candidates,
-        perZone: Map<String, Int>,
+        tasksPerZone: Map<String, Int>,
     ) {
         if (!job.spec.isProduction && !usageAccounting.isFunded(job.id)) return
-        if (context.now < (jobPausedUntil[job.id] ?: 0)) return
-        jobPausedUntil[job.id] = context.now + JOB_PAUSE
+        if (context.now < (jobCooldownUntilUs[job.id] ?: 0)) return
+        jobCooldownUntilUs[job.id] = context.now + JOB_COOLDOWN
         val preemptor = preemptorOf(job)
-        val zoneCounts = HashMap(perZone)
+        val zoneCounts = HashMap(tasksPerZone)
         val sample = candidates.sample(context.random, SAMPLED_MACHINES)
-        repeat(minOf(job.waiting, MAX_MACHINES_AT_ONCE)) {
+        repeat(minOf(job.waiting, MAX_MACHINES_PER_ATTEMPT)) {
             val plan = cheapestPlan(job.spec, sample, zoneCounts, preemptor) ?: return
             zoneCounts.merge(plan.candidate.zone, 1, Int::plus)
-            carryOut(plan, job)
+            execute(plan, job)
         }
     }
 
@@ -103,7 +103,7 @@
         sample
             .filter { Placer.allowed(spec, it.type, it.zone, it.spot) }
             .filter { (zoneCounts[it.zone] ?: 0) < spec.zoneCap }
-            .filter { context.now >= (machinePausedUntil[it.machine] ?: 0) }
+            .filter { context.now >= (machineCooldownUntilUs[it.machine] ?: 0) }
             .mapNotNull { planOn(it, spec.demand, preemptor) }
             .minByOrNull { it.lostCpuMicros }
 
@@ -137,7 +137,7 @@
             .map { (task, attempt) -> AttemptId(task, attempt) }
             .filter { it !in commandPlanner.stopping }
             .mapNotNull { attempt -> reasonToPreempt(attempt, preemptor)?.let { Victim(attempt, it) } }
-            .sortedByDescending { assignmentAges.sinceUs(it.attempt) }
+            .sortedByDescending { assignmentAges.firstSeenUs(it.attempt) }
 
     private fun reasonToPreempt(
         attempt: AttemptId,
@@ -166,21 +166,21 @@
         attempt: AttemptId,
     ): Micros {
         val machine = job.placement(attempt.task.index)?.machine
-        val type = cache.types[cache.machines[machine]?.record?.type] ?: return 0
+        val type = cache.machineTypes[cache.machines[machine]?.record?.type] ?: return 0
         if (type.fetchGbPerS <= 0) return 0
         return (job.spec.imageGb / type.fetchGbPerS * SECOND).toLong()
     }
 
-    private fun carryOut(
+    private fun execute(
         plan: Plan,
         job: Job,
     ) {
         val machine = plan.candidate.machine
-        machinePausedUntil[machine] = context.now + MACHINE_PAUSE
+        machineCooldownUntilUs[machine] = context.now + MACHINE_COOLDOWN
         if (!shardClaims.controls(machine)) {
             // The leader may stop tasks only on what it commands; once it is borrowed the job asks again.
-            shardClaims.borrow(listOf(machine), agents::push)
-            jobPausedUntil.remove(job.id)
+            shardClaims.borrow(listOf(machine), agents::pushCommands)
+            jobCooldownUntilUs.remove(job.id)
             return
         }
         val tasks = plan.victims.map { it.attempt.task }
@@ -189,15 +189,15 @@
             LOG.debug("preempt victim={} for={} reason={}", victim.attempt.task, job.id.text, victim.reason.text)
         }
         commandPlanner.preempt(plan.victims.map { it.attempt })
-        agents.push(machine)
+        agents.pushCommands(machine)
     }
 
     private companion object {
         val LOG = LoggerFactory.getLogger(PreemptionPlanner::class.java)
-        const val JOB_PAUSE: Micros = SECOND
-        const val MACHINE_PAUSE: Micros = SECOND / 2
-        const val MAX_MACHINES_AT_ONCE = 4
+        const val JOB_COOLDOWN: Micros = SECOND
+        const val MACHINE_COOLDOWN: Micros = SECOND / 2
+        const val MAX_MACHINES_PER_ATTEMPT = 4
         const val SAMPLED_MACHINES = 48
-        const val PAUSES_TO_CLEAN = 5_000
+        const val CLEANUP_THRESHOLD = 5_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
@@ -13,7 +13,7 @@
     /** The highest priority of the job and of all jobs that need it. */
     private val priority: Priority,
     /** The team's rank by fair share, the one to be served first lowest. */
-    private val teamRank: Int,
+    private val fairShareRank: Int,
     /** Time of day as which the job's arrival counts among its team's jobs. */
     private val effectiveArrivalUs: Micros,
 ) {
@@ -23,11 +23,11 @@
          * priority scheduling with time budgets and fair share". The project's own exception: services that users see wait for nobody
          * (docs/design.md).
          */
-        val SERVED_FIRST: Comparator<QueuePosition> =
+        val QUEUE_ORDER: Comparator<QueuePosition> =
             compareBy<QueuePosition> { !it.job.spec.isProduction }
                 .thenBy { !it.isFunded }
                 .thenBy { it.priority }
-                .thenBy { it.teamRank }
+                .thenBy { it.fairShareRank }
                 .thenBy { it.effectiveArrivalUs }
                 .thenBy { it.job.id.text }
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -7,27 +7,27 @@
 import mintpick.core.Micros
 import mintpick.core.TeamQuota
 import mintpick.core.isProduction
-import mintpick.engine.jobs.JobUpdates
+import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.transactions.JobUpdate
 
 /**
  * Assigns the tasks of waiting jobs to machines, in passes over the queue: [JobQueue] says in which order,
- * [ControllerSelection] which jobs are this controller's to place, [MachineCandidates] on which machines, and [JobPlacer]
+ * [PlacementScopePolicy] which jobs are this controller's to place, [CandidateFinder] on which machines, and [JobPlacer]
  * places each. Event-loop thread only.
  */
 class Scheduler(
     private val context: EngineContext,
     private val queue: JobQueue,
-    private val controllerSelection: ControllerSelection,
-    private val machineCandidates: MachineCandidates,
-    private val faultyJobs: FaultyJobs,
+    private val placementScopePolicy: PlacementScopePolicy,
+    private val candidateFinder: CandidateFinder,
+    private val faultyJobThrottle: FaultyJobThrottle,
     private val jobPlacer: JobPlacer,
     private val preemptionPlanner: PreemptionPlanner,
 ) {
     private val teamLimits = TeamLimits(context)
-    private val pacing = PassPacing(context)
-    private val unchangedJobs = UnchangedJobs(context)
+    private val passRateLimiter = PassRateLimiter(context)
+    private val jobRecordAges = JobRecordAges(context)
 
     /** Jobs that were not placed, or not whole, in the last pass; in the order of the queue. */
     var unschedulable: List<Job> = emptyList()
@@ -38,25 +38,25 @@
         private set
 
     /** Whether a job could have been placed in the last pass, but for a write. */
-    var lacksWrites = false
+    var lacksWriteBudget = false
         private set
 
     /** What the last pass placed could not be written. */
     fun onPlacementsNotWritten() {
-        lacksWrites = true
+        lacksWriteBudget = true
     }
 
     /** [jobs] in the order of the queue, first the one to be served first. */
-    fun order(jobs: Collection<Job>): List<Job> = queue.inOrder(jobs)
+    fun inQueueOrder(jobs: Collection<Job>): List<Job> = queue.inQueueOrder(jobs)
 
     /** How many of the waiting tasks of [job] may start now: all, unless it fails wherever it runs. */
-    fun startable(job: Job): Int = faultyJobs.startable(job)
+    fun startableTasks(job: Job): Int = faultyJobThrottle.startableTasks(job)
 
     /** Whether [job] may be placed on spot machines only, for now. */
-    fun keepsToSpot(job: Job): Boolean = jobPlacer.keepsToSpot(job)
+    fun isSpotOnly(job: Job): Boolean = jobPlacer.isSpotOnly(job)
 
     /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
-    fun zonesOf(job: Job): Map<String, Int> = machineCandidates.zonesOf(job)
+    fun tasksPerZone(job: Job): Map<String, Int> = candidateFinder.tasksPerZone(job)
 
     /** What teams may still use under their limits as the records stand. */
     fun teamQuota(): TeamQuota = teamLimits.quota()
@@ -66,29 +66,29 @@
      * making one where there is none, or null if the job can't be changed now.
      */
     fun schedule(
-        jobUpdates: JobUpdates,
+        jobUpdates: JobUpdateWriter,
         drafts: Map<JobId, JobUpdate>,
         draftOf: (JobId) -> JobUpdate?,
     ) {
         // What was just observed moves in the same write; otherwise planning more often than this finds nothing new.
-        val hasRequeued = drafts.values.any { it.job.waiting > it.before.waiting }
-        if (!pacing.isDue && !hasRequeued) return
-        pacing.passStarted(context.cache.waitingJobs().size, machineCandidates.ownMachineCount)
-        lacksWrites = false
+        val hasRequeuedTasks = drafts.values.any { it.job.waiting > it.before.waiting }
+        if (!passRateLimiter.isDue && !hasRequeuedTasks) return
+        passRateLimiter.onPassStarted(context.cache.waitingJobs().size, candidateFinder.ownMachineCount)
+        lacksWriteBudget = false
         val waiting = waitingJobs(drafts)
-        unchangedJobs.retain(waiting.keys)
+        jobRecordAges.retain(waiting.keys)
         if (waiting.isEmpty()) {
             unschedulable = emptyList()
             lacksCapacity = false
             return
         }
         val pass = newPass(jobUpdates, draftOf, waiting.size)
-        for (job in order(waiting.values)) serve(job, pass)
-        if (pass.hasPlacedParts) pacing.partsPlaced()
+        for (job in inQueueOrder(waiting.values)) scheduleJob(job, pass)
+        if (pass.hasPlacedPartially) passRateLimiter.onPartialPlacement()
         unschedulable = pass.unschedulable
         lacksCapacity = pass.lacksCapacity
-        lacksWrites = pass.lacksWrites
-        jobPlacer.borrowFor(pass)
+        lacksWriteBudget = pass.lacksWriteBudget
+        jobPlacer.borrowMachines(pass)
     }
 
     /** The jobs that wait once [drafts] are stored; jobs with a draft as they are to become. */
@@ -103,48 +103,48 @@
     }
 
     private fun newPass(
-        jobUpdates: JobUpdates,
+        jobUpdates: JobUpdateWriter,
         draftOf: (JobId) -> JobUpdate?,
-        waitingJobs: Int,
+        waitingJobCount: Int,
     ): PlacementPass {
-        val own = Candidates.of(machineCandidates.ownCandidates(jobUpdates))
+        val own = Candidates.of(candidateFinder.ownCandidates(jobUpdates))
         val writeBudget = jobUpdates.writeBudget()
         return PlacementPass(
             jobUpdates,
             draftOf,
-            PassCandidates(own) { machineCandidates.othersCandidates(jobUpdates) },
+            PassCandidates(own) { candidateFinder.peerCandidates(jobUpdates) },
             teamQuota(),
-            isOverloaded = pacing.isOverloaded(waitingJobs),
-            mayPlaceParts = pacing.mayPlaceParts(writeBudget),
+            isOverloaded = passRateLimiter.isOverloaded(waitingJobCount),
+            mayPlacePartially = passRateLimiter.mayPlacePartially(writeBudget),
             writeBudget,
         )
     }
 
-    private fun serve(
+    private fun scheduleJob(
         job: Job,
         pass: PlacementPass,
     ) {
-        if (!faultyJobs.mayRetry(job.id)) return
-        val startable = startable(job)
+        if (!faultyJobThrottle.mayRetry(job.id)) return
+        val startable = startableTasks(job)
         if (startable == 0) return
-        val unchangedUs = unchangedJobs.observe(job)
-        val isFree = pass.jobUpdates.isFree(job.id)
+        val unchangedUs = jobRecordAges.observe(job)
+        val isFree = pass.jobUpdates.isAvailable(job.id)
         // Asked for also while the job is not free: that may build the view of all machines, whose order depends on when.
-        val candidates = controllerSelection.candidatesFor(job, unchangedUs, pass.candidates).takeIf { isFree }
-        val hasWrite = pass.hasWriteFor(job)
-        if (!hasWrite && !job.spec.isProduction) {
+        val candidates = placementScopePolicy.candidatesFor(job, unchangedUs, pass.candidates).takeIf { isFree }
+        val hasWriteBudget = pass.hasWriteBudgetFor(job)
+        if (!hasWriteBudget && !job.spec.isProduction) {
             // One job that could be placed is enough to know.
-            pass.lacksWrites = pass.lacksWrites || (candidates != null && jobPlacer.couldPlace(job, candidates, pass))
+            pass.lacksWriteBudget = pass.lacksWriteBudget || (candidates != null && jobPlacer.couldPlace(job, candidates, pass))
             pass.unschedulable += job
             return
         }
         val placed = if (candidates == null) 0 else jobPlacer.place(job, startable, candidates, pass)
         if (placed >= startable) return
         pass.unschedulable += job
-        if (placed == 0 && candidates != null && hasWrite && pass.teamMayPlace(job)) onNoRoom(job, unchangedUs, candidates, pass)
+        if (placed == 0 && candidates != null && hasWriteBudget && pass.teamAllows(job)) onNoCapacity(job, unchangedUs, candidates, pass)
     }
 
-    private fun onNoRoom(
+    private fun onNoCapacity(
         job: Job,
         unchangedUs: Micros,
         candidates: Candidates,
@@ -152,11 +152,15 @@
     ) {
         pass.lacksCapacity = true
         // Another controller may have room, for which nobody has to be preempted.
-        val hasWaited = unchangedUs >= PREEMPT_AFTER
-        if (hasWaited && !faultyJobs.isFaulty(job)) preemptionPlanner.preemptFor(job, candidates, machineCandidates.zonesOf(job))
+        val isPreemptionDue = unchangedUs >= PREEMPTION_DELAY
+        if (isPreemptionDue &&
+            !faultyJobThrottle.isFaulty(job)
+        ) {
+            preemptionPlanner.preemptFor(job, candidates, candidateFinder.tasksPerZone(job))
+        }
     }
 
     private companion object {
-        const val PREEMPT_AFTER: Micros = 600 * MILLI
+        const val PREEMPTION_DELAY: Micros = 600 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -24,50 +24,50 @@
     private val stateStore: StateStoreClient,
     private val shardClaims: ShardClaims,
     private val operators: Operators,
-    private val summaries: UsageSummaryStore,
+    private val summaryStore: UsageSummaryStore,
 ) {
     private val teams = context.settings.teams
     private val window = UsageWindow(operators.windowUs, operators.slotUs)
     private val tree = ShareTree(budgetTree())
     private val fundedJobs = FundedJobs(context)
     private var isRestored = false
-    private var chargedUs: Micros? = null
+    private var lastChargeUs: Micros? = null
 
     /** Share-seconds by team, with what is derived from them and holds until they are summed up anew. */
-    private var useByTeam: Map<String, Double> = emptyMap()
-    private var summedUs: Micros = -REFRESH_INTERVAL
-    private var ranks: TeamRanks? = null
-    private val overShare = HashMap<String, Boolean>()
+    private var usageByTeam: Map<String, Double> = emptyMap()
+    private var refreshedUs: Micros = -REFRESH_INTERVAL
+    private var cachedRanks: FairShareRanks? = null
+    private val isOverShareByTeam = HashMap<String, Boolean>()
 
     private val cache get() = context.cache
 
     /** The operators' tree, if there is one, with a branch of weight 1 for each team that it leaves out; else weights are guarantees. */
     private fun budgetTree(): ShareNode.Group {
-        val given = operators.shares
-        if (given == null) {
+        val configured = operators.shares
+        if (configured == null) {
             return ShareNode.Group("root", 1.0, teams.map { ShareNode.Team(it.name, if (it.cpus > 0) it.cpus else 1.0) })
         }
-        val named = given.teams().toSet()
-        val unnamed = teams.filter { it.name !in named }
-        return given.copy(children = given.children + unnamed.map { ShareNode.Team(it.name, 1.0) })
+        val teamsInTree = configured.teams().toSet()
+        val otherTeams = teams.filter { it.name !in teamsInTree }
+        return configured.copy(children = configured.children + otherTeams.map { ShareNode.Team(it.name, 1.0) })
     }
 
     /** Charges what has run since the last second, and stores a summary when one is due. */
     fun tick() {
         if (!stateStore.isServing) return
         restore()
-        val before = chargedUs
-        if (before != null && context.now - before < CHARGE_INTERVAL) return
-        chargedUs = context.now
-        if (before != null) charge((context.now - before).toDouble() / SECOND)
-        summaries.storeIfDue(window)
+        val previousChargeUs = lastChargeUs
+        if (previousChargeUs != null && context.now - previousChargeUs < CHARGE_INTERVAL) return
+        lastChargeUs = context.now
+        if (previousChargeUs != null) charge((context.now - previousChargeUs).toDouble() / SECOND)
+        summaryStore.storeIfDue(window)
     }
 
     /** A restarted controller goes on from what its earlier process stored. */
     private fun restore() {
         if (isRestored) return
         isRestored = true
-        for (stored in summaries.storedBy(context.self)) window.set(stored.slot, stored.byTeam)
+        for (stored in summaryStore.usageStoredBy(context.self)) window.set(stored.slot, stored.byTeam)
     }
 
     private fun charge(seconds: Double) {
@@ -81,38 +81,38 @@
                 used.merge(spec.team, spec.demand, Resources::plus)
             }
         }
-        for ((team, amount) in used) window.add(team, amount.dominantShare(total) * seconds, context.wall)
-        window.expire(context.wall)
+        for ((team, amount) in used) window.add(team, amount.dominantShare(total) * seconds, context.wallClockUs)
+        window.expire(context.wallClockUs)
     }
 
     /** What machines of all known types that have reported add up to. */
     private fun clusterCapacity(): Resources {
         var total = Resources.ZERO
-        for (machine in cache.machines.values) total += cache.types[machine.record.type]?.capacity ?: continue
+        for (machine in cache.machines.values) total += cache.machineTypes[machine.record.type]?.capacity ?: continue
         return total
     }
 
     /** Share-seconds that [team] has used in the window: here as of now, on other controllers as of their last summaries. */
-    fun use(team: String): Double {
+    fun usageOf(team: String): Double {
         refresh()
-        return useByTeam[team] ?: 0.0
+        return usageByTeam[team] ?: 0.0
     }
 
     private fun refresh() {
-        if (context.now - summedUs < REFRESH_INTERVAL) return
-        summedUs = context.now
-        useByTeam = sumUse()
-        ranks = null
-        overShare.clear()
+        if (context.now - refreshedUs < REFRESH_INTERVAL) return
+        refreshedUs = context.now
+        usageByTeam = sumUsage()
+        cachedRanks = null
+        isOverShareByTeam.clear()
     }
 
-    private fun sumUse(): Map<String, Double> {
+    private fun sumUsage(): Map<String, Double> {
         val sums = HashMap<String, Double>()
         for (team in teams) sums[team.name] = window.use(team.name)
-        val oldestSlot = window.slotOf(context.wall - operators.windowUs)
+        val oldestSlot = window.slotOf(context.wallClockUs - operators.windowUs)
         for (node in cache.usage.keys) {
             if (node == context.self) continue
-            for (stored in summaries.storedBy(node)) {
+            for (stored in summaryStore.usageStoredBy(node)) {
                 if (stored.slot < oldestSlot) continue
                 for ((team, use) in stored.byTeam) sums.merge(team, use, Double::plus)
             }
@@ -121,15 +121,15 @@
     }
 
     /** The teams' ranks by fair share; judged once for each refresh of their use. */
-    fun teamRanks(): TeamRanks {
+    fun fairShareRanks(): FairShareRanks {
         refresh()
-        return ranks ?: TeamRanks(tree.ranks(::use)).also { ranks = it }
+        return cachedRanks ?: FairShareRanks(tree.ranks(::usageOf)).also { cachedRanks = it }
     }
 
     /** Whether [team] has used more than its share of what all have used. */
     fun isOverShare(team: String): Boolean {
         refresh()
-        return overShare.getOrPut(team) { tree.isOverShare(team, ::use) }
+        return isOverShareByTeam.getOrPut(team) { tree.isOverShare(team, ::usageOf) }
     }
 
     /** Whether the guarantee of its team pays for [job]. */
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageSummaryStore.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageSummaryStore.kt
@@ -5,7 +5,7 @@
 import mintpick.core.NodeId
 import mintpick.core.UsageWindow
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.engine.state.UsageLayout
 import mintpick.engine.state.Write
@@ -28,23 +28,23 @@
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val operators: Operators,
-    private val formats: FormatGate,
+    private val formats: RecordFormatNegotiator,
 ) {
     /** A layout and the size of values that it was made for. */
-    private class SizedLayout(
+    private class CachedLayout(
         val valueBytes: Double,
         val layout: UsageLayout,
     )
 
     private val teams = context.settings.teams
     private val slotsPerWindow = (operators.windowUs / operators.slotUs).toInt() + 1
-    private var sizedLayout: SizedLayout? = null
+    private var cachedLayout: CachedLayout? = null
     private var nextSummaryUs: Micros = 0
     private var isWriting = false
     private val cache get() = context.cache
 
     /** Use as [node] has stored it, by slot; what a piece tells of a slot counts before the whole of earlier versions. */
-    fun storedBy(node: NodeId): List<SlotUsage> {
+    fun usageStoredBy(node: NodeId): List<SlotUsage> {
         val slots = HashMap<Long, HashMap<String, Double>>()
         for ((_, record) in cache.usage[node].orEmpty().toSortedMap()) {
             for ((slotText, shares) in record.slots) {
@@ -72,25 +72,25 @@
         if (!stateStore.isReachable || stateStore.writesAllowed() < MIN_WRITES_ALLOWED) return
         nextSummaryUs = context.now + operators.summaryEveryUs
         isWriting = true
-        val writes = if (formats.current == RecordFormat.VERBOSE) listOf(wholeSummary(window)) else pieceSummaries(window)
+        val writes = if (formats.current == RecordFormat.VERBOSE) listOf(legacySummary(window)) else pieceSummaries(window)
         var openTransactions = 0
-        for (part in writes.chunked(context.settings.limits.transactionOps)) {
+        for (batch in writes.chunked(context.settings.limits.transactionOps)) {
             openTransactions++
-            stateStore.transact(emptyList(), part) { if (--openTransactions == 0) isWriting = false }
+            stateStore.transact(emptyList(), batch) { if (--openTransactions == 0) isWriting = false }
         }
     }
 
     /** All that the window holds in one record, as earlier versions keep it. */
-    private fun wholeSummary(window: UsageWindow): Write {
+    private fun legacySummary(window: UsageWindow): Write {
         val slots = window.snapshot().entries.associate { (slot, use) -> slot.toString() to shares(use, teams.indices) }
-        return summary(WHOLE_RECORD, UsageRecord(context.wall, slots))
+        return summary(LEGACY_PIECE, UsageRecord(context.wallClockUs, slots))
     }
 
     /** The pieces of the present slot; a record of earlier versions is deleted once all its slots have left the window. */
     private fun pieceSummaries(window: UsageWindow): List<Write> {
         val snapshot = window.snapshot()
-        val pieces = layout().piecesOf(window.slotOf(context.wall)).map { pieceSummary(it, snapshot) }
-        if (!isWholeRecordOver(window)) return pieces
+        val pieces = currentLayout().piecesOf(window.slotOf(context.wallClockUs)).map { pieceSummary(it, snapshot) }
+        if (!isLegacyRecordExpired(window)) return pieces
         return pieces + Write(Keys.usage(context.self.text), null)
     }
 
@@ -103,22 +103,22 @@
                 .filterKeys { it in piece.slots }
                 .entries
                 .associate { (slot, use) -> slot.toString() to shares(use, piece.teams) }
-        return summary(piece.number, UsageRecord(context.wall, slots, piece.teams.first))
+        return summary(piece.number, UsageRecord(context.wallClockUs, slots, piece.teams.first))
     }
 
-    private fun isWholeRecordOver(window: UsageWindow): Boolean {
-        val whole = cache.usage[context.self]?.get(WHOLE_RECORD) ?: return false
-        val oldestSlot = window.slotOf(context.wall - operators.windowUs)
-        return whole.slots.keys.none { (it.toLongOrNull() ?: 0) >= oldestSlot }
+    private fun isLegacyRecordExpired(window: UsageWindow): Boolean {
+        val legacyRecord = cache.usage[context.self]?.get(LEGACY_PIECE) ?: return false
+        val oldestSlot = window.slotOf(context.wallClockUs - operators.windowUs)
+        return legacyRecord.slots.keys.none { (it.toLongOrNull() ?: 0) >= oldestSlot }
     }
 
     /** Made anew only when the format, and with it the size of values, has changed. */
-    private fun layout(): UsageLayout {
-        val valueBytes = formats.valueBytes
-        val known = sizedLayout
-        if (known != null && known.valueBytes == valueBytes) return known.layout
+    private fun currentLayout(): UsageLayout {
+        val valueBytes = formats.maxValueBytes
+        val cached = cachedLayout
+        if (cached != null && cached.valueBytes == valueBytes) return cached.layout
         val layout = UsageLayout(teams.size, slotsPerWindow, valueBytes)
-        sizedLayout = SizedLayout(valueBytes, layout)
+        cachedLayout = CachedLayout(valueBytes, layout)
         return layout
     }
 
@@ -135,7 +135,7 @@
 
     private companion object {
         /** The number under which the one record of earlier versions is kept. */
-        const val WHOLE_RECORD = 0
+        const val LEGACY_PIECE = 0
         const val STEPS_PER_SHARE_SECOND = 1e3
         const val MIN_WRITES_ALLOWED = 3
     }
--- a/src/main/kotlin/mintpick/engine/state/LeaseKeeper.kt
+++ b/src/main/kotlin/mintpick/engine/state/LeaseManager.kt
@@ -11,11 +11,11 @@
 import org.slf4j.LoggerFactory
 
 /** Gets this controller's lease, registers the controller with it, renews it, and notices its loss. Event-loop thread only. */
-class LeaseKeeper(
-    private val connection: StateServiceConnection,
-    private val session: StoreSession,
-    private val transactions: TransactionQueue,
-    private val formats: FormatGate,
+class LeaseManager(
+    private val connection: StateStoreConnection,
+    private val session: StateStoreSession,
+    private val transactions: TransactionDispatcher,
+    private val formats: RecordFormatNegotiator,
 ) {
     private val context = connection.context
     private val protocol = connection.protocol
@@ -23,16 +23,16 @@
     private var nextRenewalUs: Micros = 0
 
     /** Asks for a lease, and registers this controller with it; a failure is retried by a later call. */
-    fun join() {
+    fun requestLease() {
         val sent = context.now
-        session.setupSent()
+        session.setupRequestSent()
         connection.request(protocol.grant(LEASE_TTL), protocol::readLease) { result ->
-            session.setupDone()
-            if (result is StateResult.Ok) granted(result.value, sent) else session.delaySetup(StateServiceConnection.RETRY_DELAY)
+            session.setupRequestEnded()
+            if (result is StateResult.Ok) onGranted(result.value, sent) else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
         }
     }
 
-    private fun granted(
+    private fun onGranted(
         answer: LeaseAnswer,
         sentUs: Micros,
     ) {
@@ -43,19 +43,19 @@
 
     /** Writes the record of this controller. */
     private fun register(lease: Long) {
-        session.setupSent()
-        val record = NodeRecord(context.self.text, lease, context.wall)
+        session.setupRequestSent()
+        val record = NodeRecord(context.self.text, lease, context.wallClockUs)
         val value = WireJson.encodeToJsonElement(NodeRecord.serializer(), record)
         val write = Write(Keys.node(context.self.text), value, leased = true)
         // Unguarded: whatever an earlier process of this name left behind is over.
         transactions.transact(emptyList(), listOfNotNull(write, formats.announcement())) { result ->
-            session.setupDone()
+            session.setupRequestEnded()
             if (result is TransactionResult.Committed) {
                 session.registered()
                 LOG.info("lease granted lease={} revision={}", lease, result.revision)
             } else {
                 session.registrationFailed()
-                session.delaySetup(StateServiceConnection.RETRY_DELAY)
+                session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
             }
         }
     }
@@ -64,8 +64,8 @@
     fun renew() {
         val lease = session.lease ?: return
         // A late write of an earlier registration may have attached the record to a lease that has expired.
-        if (context.cache.nodes[context.self]?.lease != lease && session.maySetUp) {
-            session.delaySetup(REPAIR_INTERVAL)
+        if (context.cache.nodes[context.self]?.lease != lease && session.canSendSetupRequest) {
+            session.delaySetupRequest(REPAIR_INTERVAL)
             register(lease)
             return
         }
@@ -79,7 +79,7 @@
         connection.request(protocol.renew(lease), protocol::readRenewal) { result ->
             renewalInFlight = false
             if (result is StateResult.Gone && session.lease == lease) session.leaseLost("expired")
-            if (result is StateResult.Limited) nextRenewalUs = context.now + StateServiceConnection.RETRY_DELAY
+            if (result is StateResult.Limited) nextRenewalUs = context.now + StateStoreConnection.RETRY_DELAY
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     companion object {
-        private val LOG = LoggerFactory.getLogger(LeaseKeeper::class.java)
+        private val LOG = LoggerFactory.getLogger(LeaseManager::class.java)
 
         /** How long a lease lives without a renewal. */
         const val LEASE_TTL: Micros = 5 * SECOND
--- a/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
@@ -21,7 +21,7 @@
     private val format: RecordFormat,
 ) {
     /** A piece that is to be written: the machines that it holds, those that have left it, and its record. */
-    class Changed(
+    class ChangedPiece(
         val machines: Map<MachineId, MachineRecord>,
         val removed: Set<MachineId>,
         val value: JsonElement,
@@ -43,7 +43,7 @@
     private val pieceOf = indexByMachine()
 
     /** Numbers of all pieces, and of the one that would come next. */
-    val numbers: Set<Int> get() = pieces.keys + unusedNumbers().first()
+    val guardedNumbers: Set<Int> get() = pieces.keys + unusedNumbers().first()
 
     private fun indexByMachine(): HashMap<MachineId, Piece> {
         val index = HashMap<MachineId, Piece>()
@@ -85,7 +85,7 @@
     }
 
     /** Marks a machine as [retiring]; false if the mark has no room, and waits until others of its piece are gone. */
-    fun mark(
+    fun markRetiring(
         id: MachineId,
         retiring: Retiring,
     ): Boolean {
@@ -100,11 +100,11 @@
     }
 
     /** Pieces to be written by number, as many as fit into one transaction of [maxOps] writes and [maxTotal] bytes, but at least one. */
-    fun changed(
+    fun changedPieces(
         maxOps: Int,
         maxTotal: Int,
-    ): Map<Int, Changed> {
-        val found = LinkedHashMap<Int, Changed>()
+    ): Map<Int, ChangedPiece> {
+        val found = LinkedHashMap<Int, ChangedPiece>()
         var bytes = 0
         // Splitting adds pieces meanwhile.
         for (number in pieces.keys.toList()) {
@@ -116,7 +116,7 @@
             if (found.isNotEmpty() && isTooMuch) break
             pieces += parts
             for ((partNumber, part) in parts) {
-                found[partNumber] = Changed(part.machines, part.removed, RecordCodec.machineListJson(part.machines, format))
+                found[partNumber] = ChangedPiece(part.machines, part.removed, RecordCodec.machineListJson(part.machines, format))
             }
         }
         return found
@@ -128,11 +128,11 @@
         piece: Piece,
     ): Map<Int, Piece> {
         val fitting = ArrayList<Piece>()
-        val open = ArrayDeque(listOf(piece))
-        while (open.isNotEmpty()) {
-            val next = open.removeFirst()
+        val pending = ArrayDeque(listOf(piece))
+        while (pending.isNotEmpty()) {
+            val next = pending.removeFirst()
             next.bytes = sizeOf(next.machines)
-            if (next.bytes <= maxBytes || next.machines.size < 2) fitting += next else open += halves(next)
+            if (next.bytes <= maxBytes || next.machines.size < 2) fitting += next else pending += halves(next)
         }
         if (fitting.first() !== piece) fitting.first().removed += piece.removed
         val unused = unusedNumbers().iterator()
--- a/src/main/kotlin/mintpick/engine/state/FormatGate.kt
+++ b/src/main/kotlin/mintpick/engine/state/RecordFormatNegotiator.kt
@@ -13,16 +13,16 @@
  * newest format that it reads in a record that outlives it; a format is written once every controller of the settings,
  * present or not, has announced it. One that has not announced anything reads only the oldest. Event-loop thread only.
  */
-class FormatGate(
+class RecordFormatNegotiator(
     private val context: EngineContext,
 ) {
     private val controllers = (context.settings.peers.map { it.node } + context.settings.node).map(::NodeId)
-    private var logged: RecordFormat? = null
+    private var lastLogged: RecordFormat? = null
 
     /** The newest format that every controller reads. */
     val current: RecordFormat
         get() {
-            val announced = context.cache.formats
+            val announced = context.cache.announcedFormats
             return RecordFormat.readableAt(controllers.minOf { announced[it] ?: NOT_ANNOUNCED })
         }
 
@@ -30,7 +30,7 @@
     val allowsDependencies: Boolean get() = current >= RecordFormat.COMPACT
 
     /** Most bytes of one value: the oldest format is needed only while the limits of before the upgrade are in force. */
-    val valueBytes: Double
+    val maxValueBytes: Double
         get() {
             val settings = context.settings
             val kilobytes = if (current == RecordFormat.VERBOSE) settings.valueKbAtStart else settings.limits.valueKb
@@ -38,11 +38,11 @@
         }
 
     /** Announced levels by controller, for the status page. */
-    fun levels(): Map<String, Int> = controllers.associate { it.text to (context.cache.formats[it] ?: RecordFormat.VERBOSE.level) }
+    fun levels(): Map<String, Int> = controllers.associate { it.text to (context.cache.announcedFormats[it] ?: RecordFormat.VERBOSE.level) }
 
     /** What this controller has to write to announce what it reads; null if it has. */
     fun announcement(): Write? {
-        val announced = context.cache.formats[context.self] ?: NOT_ANNOUNCED
+        val announced = context.cache.announcedFormats[context.self] ?: NOT_ANNOUNCED
         if (announced >= RecordFormat.NEWEST.level) return null
         val record = FormatRecord(RecordFormat.NEWEST.level)
         return Write(Keys.format(context.self.text), WireJson.encodeToJsonElement(FormatRecord.serializer(), record))
@@ -51,13 +51,13 @@
     /** Logs each change of the format once. */
     fun tick() {
         val format = current
-        if (format == logged) return
-        logged = format
+        if (format == lastLogged) return
+        lastLogged = format
         LOG.info("record format={} levels={}", format, levels())
     }
 
     private companion object {
-        val LOG = LoggerFactory.getLogger(FormatGate::class.java)
+        val LOG = LoggerFactory.getLogger(RecordFormatNegotiator::class.java)
 
         /** The level of a controller that has announced nothing: below all formats. */
         const val NOT_ANNOUNCED = 0
--- a/src/main/kotlin/mintpick/engine/state/RequestLimits.kt
+++ b/src/main/kotlin/mintpick/engine/state/RequestLimits.kt
@@ -23,9 +23,9 @@
     fun writesAvailable(): Double = writes.available(context.now)
 
     /** Takes one request if the limit allows it; false if not. */
-    fun tryRequest(): Boolean = requests.take(context.now, 1.0)
+    fun tryAcquireRequest(): Boolean = requests.take(context.now, 1.0)
 
-    /** Counts one request that must leave in any case; later ones that use [tryRequest] wait for it. */
+    /** Counts one request that must leave in any case; later ones that use [tryAcquireRequest] wait for it. */
     fun chargeRequest() = requests.charge(context.now, 1.0)
 
     /** Counts [count] written keys that leave in any case. */
--- a/src/main/kotlin/mintpick/engine/state/RequestStatistics.kt
+++ b/src/main/kotlin/mintpick/engine/state/RequestStatistics.kt
@@ -23,32 +23,32 @@
     private val latency = Histogram(MAX_LATENCY, LATENCY_DIGITS)
 
     /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
-    val reachable: Boolean get() = (lastServedUs ?: -1) >= lastFailedUs || context.now - (lastServedUs ?: 0) < FAILURE_GRACE
+    val isReachable: Boolean get() = (lastServedUs ?: -1) >= lastFailedUs || context.now - (lastServedUs ?: 0) < FAILURE_GRACE
 
     /** Latency in milliseconds by percentile, for the status page. */
     fun latencyMs(): Map<String, Double> = PERCENTILES.associate { "p${it.toInt()}" to latency.getValueAtPercentile(it).toDouble() / MILLI }
 
     /** A request that was sent at [sentUs] has been answered. */
-    fun served(sentUs: Micros) {
+    fun recordServed(sentUs: Micros) {
         latency.recordValue((context.now - sentUs).coerceIn(1, MAX_LATENCY))
         lastServedUs = maxOf(lastServedUs ?: 0, sentUs)
     }
 
     /** A watch has been answered: it stays open through an outage, so only its answer says that the service serves. */
-    fun watchServed() {
+    fun recordWatchServed() {
         lastServedUs = maxOf(lastServedUs ?: 0, context.now - MILLI)
     }
 
     /** A request has failed: it was not sent, not answered, or answered with an error. */
-    fun failed() {
+    fun recordFailed() {
         lastFailedUs = context.now
     }
 
     /** Records how a request that was sent at [sentUs] ended. A refusal counts as served: the service is there. */
-    fun record(
+    fun recordResult(
         sentUs: Micros,
         result: StateResult<*>,
-    ) = if (result is StateResult.Failed) failed() else served(sentUs)
+    ) = if (result is StateResult.Failed) recordFailed() else recordServed(sentUs)
 
     private companion object {
         val PERCENTILES = listOf(50.0, 90.0, 99.0, 100.0)
--- a/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
+++ b/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
@@ -7,8 +7,8 @@
 
 /** Reads all records into the local cache, page by page, and closes the read with a catch-up. Event-loop thread only. */
 class SnapshotLoader(
-    private val connection: StateServiceConnection,
-    private val session: StoreSession,
+    private val connection: StateStoreConnection,
+    private val session: StateStoreSession,
     private val watch: WatchReader,
 ) {
     /** How far the reading of the records into [cache] has come: a request that fails is sent again, those before it are not. */
@@ -35,10 +35,10 @@
     fun load() = if (progress.hasAllPages) catchUp() else loadPage()
 
     private fun loadPage() {
-        session.setupSent()
+        session.setupRequestSent()
         connection.request(protocol.page(progress.lastKey, PAGE_ITEMS), protocol::readPage) { result ->
-            session.setupDone()
-            if (result is StateResult.Ok) onPage(result.value) else session.delaySetup(StateServiceConnection.RETRY_DELAY)
+            session.setupRequestEnded()
+            if (result is StateResult.Ok) onPage(result.value) else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
         }
     }
 
@@ -53,7 +53,7 @@
             return
         }
         // Pages are not one moment: the watch starts at the first page's revision and repeats what changed meanwhile.
-        context.cache.reached(firstRevision)
+        context.cache.advanceTo(firstRevision)
         progress.hasAllPages = true
         val isSinglePage = progress.lastKey == null
         if (isSinglePage) finish() else load()
@@ -61,10 +61,10 @@
 
     /** With several pages nobody serves before that: a guard from a later page would hold although changes from before it are not known. */
     private fun catchUp() {
-        session.setupSent()
+        session.setupRequestSent()
         connection.request(protocol.watch(context.cache.revision, 0), protocol::readWatch) { result ->
-            session.setupDone()
-            if (watch.apply(result)) finish() else session.delaySetup(StateServiceConnection.RETRY_DELAY)
+            session.setupRequestEnded()
+            if (watch.apply(result)) finish() else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
@@ -12,13 +12,13 @@
  */
 class StateStoreClient(
     context: EngineContext,
-    formats: FormatGate,
+    formats: RecordFormatNegotiator,
 ) {
-    private val connection = StateServiceConnection(context)
+    private val connection = StateStoreConnection(context)
     private val statistics = connection.statistics
-    private val session = StoreSession(context)
-    private val transactions = TransactionQueue(connection, session)
-    private val leaseKeeper = LeaseKeeper(connection, session, transactions, formats)
+    private val session = StateStoreSession(context)
+    private val transactions = TransactionDispatcher(connection, session)
+    private val leaseManager = LeaseManager(connection, session, transactions, formats)
     private val watchReader = WatchReader(connection, session)
     private val snapshotLoader = SnapshotLoader(connection, session, watchReader)
 
@@ -41,19 +41,19 @@
     val lastServedUs: Micros? get() = statistics.lastServedUs
 
     /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
-    val isReachable: Boolean get() = statistics.reachable
+    val isReachable: Boolean get() = statistics.isReachable
 
     /**
      * Everything that was committed before this time is in the local cache; null before the first answered watch or
      * catch-up. Unlike [lastServedUs] it does not move with lease renewals, which say nothing of the records.
      */
-    val recordsKnownUs: Micros? get() = watchReader.recordsKnownUs
+    val cacheAsOfUs: Micros? get() = watchReader.cacheAsOfUs
 
     /** Transactions that may still be answered soon; those whose answers are lost are not counted. */
-    val openTransactions: Int get() = transactions.openCount
+    val inFlightTransactions: Int get() = transactions.inFlightCount
 
     /** Transactions that the state service found too large, since the start. */
-    val tooLargeTransactions: Long get() = transactions.tooLarge
+    val tooLargeTransactions: Long get() = transactions.tooLargeCount
 
     /** Whether a transaction may be sent, whatever others have used of the write limit. */
     val mayWrite: Boolean get() = transactions.mayWrite
@@ -67,27 +67,27 @@
     /** Sends the requests that are due: the next step towards isServing or a renewal, then the watch and the catch-up. */
     fun tick() {
         when (session.phase) {
-            SessionPhase.LOADING -> if (session.maySetUp) snapshotLoader.load()
-            SessionPhase.JOINING -> if (session.maySetUp) leaseKeeper.join()
-            SessionPhase.SERVING -> leaseKeeper.renew()
+            SessionPhase.LOADING -> if (session.canSendSetupRequest) snapshotLoader.load()
+            SessionPhase.JOINING -> if (session.canSendSetupRequest) leaseManager.requestLease()
+            SessionPhase.SERVING -> leaseManager.renew()
         }
         watchReader.tick()
     }
 
     /** The process was paused: a lease that was not renewed within its time is given up. */
-    fun onProcessPause() = leaseKeeper.onProcessPause()
+    fun onProcessPause() = leaseManager.onProcessPause()
 
-    /** Runs [then] with true once everything committed before this call is in the cache; with false if that can't be had now. */
-    fun caughtUp(then: (Boolean) -> Unit) = watchReader.caughtUp(then)
+    /** Runs [onResult] with true once everything committed before this call is in the cache; with false if that can't be had now. */
+    fun afterCatchUp(onResult: (Boolean) -> Unit) = watchReader.afterCatchUp(onResult)
 
     /**
      * Sends a transaction of [changes] under [guards], whatever the limits say: callers ask [mayWrite] or [writesAllowed]
-     * before. [then] runs in a later step; what was committed is in the cache by then. The outcome is unknown if the
+     * before. [onResult] runs in a later step; what was committed is in the cache by then. The outcome is unknown if the
      * records were read anew meanwhile.
      */
     fun transact(
         guards: List<Guard>,
         changes: List<Write>,
-        then: (TransactionResult) -> Unit,
-    ) = transactions.transact(guards, changes, then)
+        onResult: (TransactionResult) -> Unit,
+    ) = transactions.transact(guards, changes, onResult)
 }
--- a/src/main/kotlin/mintpick/engine/state/StateServiceConnection.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreConnection.kt
@@ -9,7 +9,7 @@
 import mintpick.store.StateResult
 
 /** The way to the state service: its protocol, this controller's request limits, and the statistics of both. Event-loop thread only. */
-class StateServiceConnection(
+class StateStoreConnection(
     val context: EngineContext,
 ) {
     val protocol = StateProtocol(context.settings.state.toString())
@@ -17,20 +17,20 @@
     val statistics = RequestStatistics(context)
 
     /**
-     * Sends [call] whatever the request limit says, and counts it. [then] gets the answer as [read] decodes it, in a later
+     * Sends [call] whatever the request limit says, and counts it. [onResult] gets the answer as [read] decodes it, in a later
      * step, after the statistics have recorded it.
      */
     fun <T> request(
         call: Call,
         read: (Outcome) -> StateResult<T>,
-        then: (StateResult<T>) -> Unit,
+        onResult: (StateResult<T>) -> Unit,
     ) {
         val sent = context.now
         limits.chargeRequest()
         context.call(call) { outcome ->
             val result = read(outcome)
-            statistics.record(sent, result)
-            then(result)
+            statistics.recordResult(sent, result)
+            onResult(result)
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/state/StoreSession.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreSession.kt
@@ -11,7 +11,7 @@
  * This controller's session with the state service: its phase, its lease, and when the next step towards serving may be
  * taken. The parts of [StateStoreClient] share it. Event-loop thread only.
  */
-class StoreSession(
+class StateStoreSession(
     private val context: EngineContext,
 ) {
     var phase = SessionPhase.LOADING
@@ -26,28 +26,28 @@
         private set
 
     /** Requests of the load, of the grant and of the registration: one is in flight at a time, whichever it is. */
-    private var setupInFlight = false
-    private var nextSetupUs: Micros = 0
+    private var setupRequestInFlight = false
+    private var nextSetupRequestUs: Micros = 0
 
     val isServing: Boolean get() = phase == SessionPhase.SERVING
     val isLoading: Boolean get() = phase == SessionPhase.LOADING
 
     /** Whether the next request of the load, the grant or the registration may leave now. */
-    val maySetUp: Boolean get() = !setupInFlight && context.now >= nextSetupUs
+    val canSendSetupRequest: Boolean get() = !setupRequestInFlight && context.now >= nextSetupRequestUs
 
     /** A request of the load, the grant or the registration leaves. */
-    fun setupSent() {
-        setupInFlight = true
+    fun setupRequestSent() {
+        setupRequestInFlight = true
     }
 
-    /** The request of [setupSent] has ended. */
-    fun setupDone() {
-        setupInFlight = false
+    /** The request of [setupRequestSent] has ended. */
+    fun setupRequestEnded() {
+        setupRequestInFlight = false
     }
 
     /** The next request of the load, the grant or the registration waits for [delay] microseconds. */
-    fun delaySetup(delay: Micros) {
-        nextSetupUs = context.now + delay
+    fun delaySetupRequest(delay: Micros) {
+        nextSetupRequestUs = context.now + delay
     }
 
     /** All records have been read. */
@@ -87,6 +87,6 @@
     }
 
     private companion object {
-        val LOG = LoggerFactory.getLogger(StoreSession::class.java)
+        val LOG = LoggerFactory.getLogger(StateStoreSession::class.java)
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/TransactionQueue.kt
+++ b/src/main/kotlin/mintpick/engine/state/TransactionDispatcher.kt
@@ -13,9 +13,9 @@
  * Sends compare-and-swap transactions, keeps those that have not been answered yet, and says how much may be written now.
  * Event-loop thread only.
  */
-class TransactionQueue(
-    private val connection: StateServiceConnection,
-    private val session: StoreSession,
+class TransactionDispatcher(
+    private val connection: StateStoreConnection,
+    private val session: StateStoreSession,
 ) {
     private val context = connection.context
     private val protocol = connection.protocol
@@ -24,11 +24,11 @@
     private var backOffUntilUs: Micros = 0
 
     /** When each transaction was sent that has not been answered yet, by its number. */
-    private val unansweredSentUs = HashMap<Long, Micros>()
+    private val sentUsOfUnanswered = HashMap<Long, Micros>()
     private var lastNumber = 0L
 
     /** Transactions that the state service found too large; its limits may have been lowered further than was announced. */
-    var tooLarge = 0L
+    var tooLargeCount = 0L
         private set
 
     /**
@@ -36,10 +36,10 @@
      * has lost its answer: it must not hold up others until it times out, as long as requests are left for leases and
      * catch-ups.
      */
-    val openCount: Int
-        get() = maxOf(unansweredSentUs.values.count(::isAnswerable), unansweredSentUs.size - MAX_LOST_TRANSACTIONS)
+    val inFlightCount: Int
+        get() = maxOf(sentUsOfUnanswered.values.count(::isAnswerable), sentUsOfUnanswered.size - MAX_LOST_TRANSACTIONS)
 
-    private fun isAnswerable(sentUs: Micros): Boolean = context.now - sentUs < LATE_ANSWER || (statistics.lastServedUs ?: 0) <= sentUs
+    private fun isAnswerable(sentUs: Micros): Boolean = context.now - sentUs < LATE_ANSWER_AGE || (statistics.lastServedUs ?: 0) <= sentUs
 
     /** Whether a transaction may be sent, whatever others have used of the write limit. */
     val mayWrite: Boolean get() = session.lease != null && context.now >= backOffUntilUs && limits.requestsAvailable() >= 1
@@ -48,30 +48,30 @@
     fun writesAllowed(): Int = if (mayWrite) limits.writesAvailable().toInt() else 0
 
     /**
-     * Sends a transaction of [changes] under [guards]. What it writes is in the cache when [then] hears that it was
-     * committed. If the records were read anew meanwhile, which brings it or what came after it, [then] hears that the
+     * Sends a transaction of [changes] under [guards]. What it writes is in the cache when [onResult] hears that it was
+     * committed. If the records were read anew meanwhile, which brings it or what came after it, [onResult] hears that the
      * outcome is unknown.
      */
     fun transact(
         guards: List<Guard>,
         changes: List<Write>,
-        then: (TransactionResult) -> Unit,
+        onResult: (TransactionResult) -> Unit,
     ) {
         val transaction = Transaction(guards, changes.map(::toChange))
         limits.chargeRequest()
         limits.chargeWrites(changes.size)
         val sent = context.now
         val number = ++lastNumber
-        unansweredSentUs[number] = sent
-        val copy = context.cache
+        sentUsOfUnanswered[number] = sent
+        val cacheAtSend = context.cache
         context.call(protocol.transact(transaction)) { outcome ->
-            unansweredSentUs.remove(number)
+            sentUsOfUnanswered.remove(number)
             val result = protocol.readTransaction(outcome)
             record(sent, outcome, result)
-            if (result is TransactionResult.Committed) changes.forEach { copy.apply(it.key, it.value, result.revision) }
+            if (result is TransactionResult.Committed) changes.forEach { cacheAtSend.apply(it.key, it.value, result.revision) }
             if (result is TransactionResult.TooLarge) reportTooLarge(guards, changes)
             // The new cache may not show it yet, and what users are answered must be in the records.
-            then(if (copy === context.cache) result else TransactionResult.Unknown)
+            onResult(if (cacheAtSend === context.cache) result else TransactionResult.Unknown)
         }
     }
 
@@ -86,13 +86,13 @@
         result: TransactionResult,
     ) {
         when (result) {
-            is TransactionResult.Committed, is TransactionResult.Conflict, TransactionResult.TooLarge -> statistics.served(sentUs)
+            is TransactionResult.Committed, is TransactionResult.Conflict, TransactionResult.TooLarge -> statistics.recordServed(sentUs)
             TransactionResult.LeaseGone -> session.leaseLost("refused")
             TransactionResult.Refused -> {
                 backOffUntilUs = context.now + MIN_BACK_OFF + context.random.nextLong(BACK_OFF_JITTER)
-                if (!isRateLimited(outcome)) statistics.failed()
+                if (!isRateLimited(outcome)) statistics.recordFailed()
             }
-            TransactionResult.Unknown -> statistics.failed()
+            TransactionResult.Unknown -> statistics.recordFailed()
         }
     }
 
@@ -102,13 +102,13 @@
         guards: List<Guard>,
         changes: List<Write>,
     ) {
-        tooLarge++
+        tooLargeCount++
         val largest = changes.maxOfOrNull { it.valueBytes } ?: 0
         LOG.error("transaction too large changes={} guards={} largest_value={}", changes.size, guards.size, largest)
     }
 
     private companion object {
-        val LOG = LoggerFactory.getLogger(TransactionQueue::class.java)
+        val LOG = LoggerFactory.getLogger(TransactionDispatcher::class.java)
         const val TOO_MANY_REQUESTS = 429
 
         /** After a refusal transactions wait this long, and up to the jitter longer, so that controllers do not return together. */
@@ -119,6 +119,6 @@
         const val MAX_LOST_TRANSACTIONS = 4
 
         /** How old an unanswered transaction is when its answer may be lost. */
-        const val LATE_ANSWER: Micros = 400 * MILLI
+        const val LATE_ANSWER_AGE: Micros = 400 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
@@ -19,8 +19,8 @@
 
     private val teamsPerPiece = teamsThatFit(valueBytes)
     private val slotsPerPiece = slotsThatFit(valueBytes)
-    private val ranges = ceilDiv(teams, teamsPerPiece)
-    private val groups = ceilDiv(windowSlots, slotsPerPiece) + SPARE_GROUPS
+    private val teamRangeCount = ceilDiv(teams, teamsPerPiece)
+    private val slotGroupCount = ceilDiv(windowSlots, slotsPerPiece) + SPARE_SLOT_GROUPS
 
     /** How many teams' shares of one slot fit into a value: at least one, at most all. */
     private fun teamsThatFit(valueBytes: Double): Int {
@@ -42,8 +42,8 @@
     fun piecesOf(slot: Long): List<Piece> {
         val group = slot / slotsPerPiece
         val slots = group * slotsPerPiece until (group + 1) * slotsPerPiece
-        val first = 1 + (group % groups).toInt() * ranges
-        return List(ranges) { range ->
+        val first = 1 + (group % slotGroupCount).toInt() * teamRangeCount
+        return List(teamRangeCount) { range ->
             val from = range * teamsPerPiece
             Piece(first + range, from until minOf(teams, from + teamsPerPiece), slots)
         }
@@ -60,6 +60,6 @@
         const val SHARE_BYTES = 12
 
         /** So that a piece is used again only when all its slots have left the window. */
-        const val SPARE_GROUPS = 2
+        const val SPARE_SLOT_GROUPS = 2
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/WatchReader.kt
+++ b/src/main/kotlin/mintpick/engine/state/WatchReader.kt
@@ -13,8 +13,8 @@
  * once and which all callers share that wait for one. Event-loop thread only.
  */
 class WatchReader(
-    private val connection: StateServiceConnection,
-    private val session: StoreSession,
+    private val connection: StateStoreConnection,
+    private val session: StateStoreSession,
 ) {
     private val context = connection.context
     private val protocol = connection.protocol
@@ -32,23 +32,23 @@
      * Null before the first one, and after the cache was reset. Lease renewals do not move it: they say nothing of the
      * records.
      */
-    var recordsKnownUs: Micros? = null
+    var cacheAsOfUs: Micros? = null
         private set
 
     /** Opens the watch and sends the catch-up, each if it is due. */
     fun tick() {
-        if (isWatchDue() && limits.tryRequest()) openWatch()
+        if (isWatchDue() && limits.tryAcquireRequest()) openWatch()
         refresh()
         startCatchUp()
     }
 
-    /** Runs [then] with true once everything committed before this call is in the cache; with false if that can't be had now. */
-    fun caughtUp(then: (Boolean) -> Unit) {
-        if (!session.isServing || !statistics.reachable) {
-            then(false)
+    /** Runs [onResult] with true once everything committed before this call is in the cache; with false if that can't be had now. */
+    fun afterCatchUp(onResult: (Boolean) -> Unit) {
+        if (!session.isServing || !statistics.isReachable) {
+            onResult(false)
             return
         }
-        catchUpWaiters += then
+        catchUpWaiters += onResult
     }
 
     /**
@@ -64,14 +64,14 @@
             val value = if (event.put != null) event.value else null
             context.cache.apply(key, value, event.version)
         }
-        context.cache.reached(result.value.revision)
+        context.cache.advanceTo(result.value.revision)
         return true
     }
 
     private fun resetCache() {
         LOG.warn("watch compacted, reloading revision={}", context.cache.revision)
         context.resetCache()
-        recordsKnownUs = null
+        cacheAsOfUs = null
         nextRefreshUs = 0
         session.reload()
         watchOpen = false
@@ -81,11 +81,11 @@
 
     private fun openWatch() {
         watchOpen = true
-        val copy = context.cache
+        val cacheAtSend = context.cache
         val sent = context.now
-        context.call(protocol.watch(copy.revision, WATCH_TIMEOUT)) { outcome ->
+        context.call(protocol.watch(cacheAtSend.revision, WATCH_TIMEOUT)) { outcome ->
             // The watch of a cache that has been reset meanwhile is not counted as open any more.
-            if (copy === context.cache) onWatchAnswer(sent, protocol.readWatch(outcome))
+            if (cacheAtSend === context.cache) onWatchAnswer(sent, protocol.readWatch(outcome))
         }
     }
 
@@ -94,20 +94,20 @@
         result: StateResult<EventPage>,
     ) {
         watchOpen = false
-        if (result is StateResult.Ok) statistics.watchServed() else statistics.record(sentUs, result)
-        nextWatchUs = context.now + if (result is StateResult.Ok) WATCH_INTERVAL else StateServiceConnection.RETRY_DELAY
-        if (apply(result)) recordsKnown(sentUs)
+        if (result is StateResult.Ok) statistics.recordWatchServed() else statistics.recordResult(sentUs, result)
+        nextWatchUs = context.now + if (result is StateResult.Ok) WATCH_INTERVAL else StateStoreConnection.RETRY_DELAY
+        if (apply(result)) advanceCacheAsOf(sentUs)
     }
 
-    private fun recordsKnown(sentUs: Micros) {
-        recordsKnownUs = maxOf(recordsKnownUs ?: 0, sentUs)
+    private fun advanceCacheAsOf(sentUs: Micros) {
+        cacheAsOfUs = maxOf(cacheAsOfUs ?: 0, sentUs)
     }
 
-    /** Keeps [recordsKnownUs] recent while nobody asks: how long workers may be answered in an outage depends on it. */
+    /** Keeps [cacheAsOfUs] recent while nobody asks: how long workers may be answered in an outage depends on it. */
     private fun refresh() {
         if (session.isLoading || context.now < nextRefreshUs) return
         nextRefreshUs = context.now + REFRESH_INTERVAL
-        val isRecent = context.now - (recordsKnownUs ?: 0) < REFRESH_INTERVAL / 2
+        val isRecent = context.now - (cacheAsOfUs ?: 0) < REFRESH_INTERVAL / 2
         if (!isRecent) catchUpWaiters += { }
     }
 
@@ -117,7 +117,7 @@
             takeWaiters().forEach { it(false) }
             return
         }
-        if (limits.tryRequest()) sendCatchUp(takeWaiters())
+        if (limits.tryAcquireRequest()) sendCatchUp(takeWaiters())
     }
 
     /** Those who wait for the next catch-up; who comes after that waits for the one after it. */
@@ -130,15 +130,15 @@
     private fun sendCatchUp(waiters: List<(Boolean) -> Unit>) {
         catchUpInFlight = true
         val sent = context.now
-        val copy = context.cache
+        val cacheAtSend = context.cache
         nextCatchUpUs = sent + CATCH_UP_INTERVAL
-        context.call(protocol.watch(copy.revision, 0)) { outcome ->
+        context.call(protocol.watch(cacheAtSend.revision, 0)) { outcome ->
             catchUpInFlight = false
             val result = protocol.readWatch(outcome)
-            statistics.record(sent, result)
+            statistics.recordResult(sent, result)
             // From before the records were read anew it says nothing of the new cache.
-            val isCaughtUp = copy === context.cache && apply(result)
-            if (isCaughtUp) recordsKnown(sent)
+            val isCaughtUp = cacheAtSend === context.cache && apply(result)
+            if (isCaughtUp) advanceCacheAsOf(sent)
             waiters.forEach { it(isCaughtUp) }
         }
     }
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionBatch.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionBatch.kt
@@ -6,7 +6,7 @@
 internal class TransactionBatch(
     private val limits: TransactionLimits,
     /** False while each job goes into a transaction of its own. */
-    private val takesSeveral: Boolean,
+    private val allowsMultipleParts: Boolean,
 ) {
     private val added = ArrayList<TransactionPart>()
     private val guards = HashSet<Guard>()
@@ -23,9 +23,9 @@
 
     /** Whether the transaction stays within all limits with [part]. */
     fun hasRoomFor(part: TransactionPart): Boolean =
-        (isEmpty || takesSeveral) &&
-            writesWith(part) <= limits.changes &&
-            guardsWith(part) <= limits.guards &&
+        (isEmpty || allowsMultipleParts) &&
+            writesWith(part) <= limits.maxChanges &&
+            guardsWith(part) <= limits.maxGuards &&
             bytes + part.bytes <= MAX_BYTES
 
     /** Adds [part], for which there must be room. */
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionLimits.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionLimits.kt
@@ -5,16 +5,16 @@
 /** What one transaction of the state service holds, of which updates of jobs must leave room for what goes with them. */
 class TransactionLimits(
     /** Most changes that one transaction carries. */
-    val changes: Int,
+    val maxChanges: Int,
 ) {
     /** Most guards that one transaction carries. */
-    val guards: Int get() = changes * GUARDS_PER_CHANGE
+    val maxGuards: Int get() = maxChanges * GUARDS_PER_CHANGE
 
     /** Most chunks of [job] that change together, beside its main record and its team's reservation. */
-    fun maxChunks(job: Job): Int = minOf(job.chunkCount, MAX_CHUNKS, maxOf(1, changes - RECORDS_BESIDE_CHUNKS))
+    fun maxChunks(job: Job): Int = minOf(job.chunkCount, MAX_CHUNKS, maxOf(1, maxChanges - RECORDS_BESIDE_CHUNKS))
 
     /** Most guards of machines in an update of [job], beside those of its own records and its team's reservation. */
-    fun maxMachineGuards(job: Job): Int = guards - RECORDS_BESIDE_CHUNKS - maxChunks(job)
+    fun maxMachineGuards(job: Job): Int = maxGuards - RECORDS_BESIDE_CHUNKS - maxChunks(job)
 
     private companion object {
         const val GUARDS_PER_CHANGE = 4
--- a/src/main/kotlin/mintpick/users/Routes.kt
+++ b/src/main/kotlin/mintpick/users/Routes.kt
@@ -25,25 +25,25 @@
  *
  * @param offer puts an event into the event loop's queue without waiting; false if it is full
  * @param isUp asked by the load balancer every second: must not wait behind what hundreds of workers bring
- * @param maxWaiting how many users' requests may wait for their answer at once
- * @param steadyUs the steady clock, in microseconds
+ * @param maxUserRequests how many users' requests may wait for their answer at once
+ * @param monotonicUs the steady clock, in microseconds
  */
 class Routes(
     offer: (Event) -> Boolean,
     private val isUp: () -> Boolean,
-    maxWaiting: Int,
-    steadyUs: () -> Micros,
+    maxUserRequests: Int,
+    monotonicUs: () -> Micros,
 ) {
-    private val pending = PendingRequests(offer, maxWaiting, steadyUs)
+    private val unanswered = UnansweredRequests(offer, maxUserRequests, monotonicUs)
 
     /** What users, workers and health checks see. */
     val api: LaterHandler = { request, respond -> routeApi(request, respond) }
 
     /** What other controllers and engineers on call see. */
-    val mesh: LaterHandler = { request, respond -> routeMesh(request, respond) }
+    val peerApi: LaterHandler = { request, respond -> routePeerApi(request, respond) }
 
     /** Answers requests that have waited too long; to be called several times a second. */
-    fun giveUpLate() = pending.expireOverdue()
+    fun expireOverdueRequests() = unanswered.expireOverdue()
 
     private fun routeApi(
         request: Request,
@@ -52,7 +52,7 @@
         val path = request.uri.path
         when {
             path == Paths.HEALTH -> ifMethod(Method.GET, request, respond) { health(respond) }
-            path == Paths.REPORT -> ifMethod(Method.POST, request, respond) { report(request, respond) }
+            path == Paths.REPORT -> ifMethod(Method.POST, request, respond) { heartbeat(request, respond) }
             path == Paths.JOBS -> ifMethod(Method.POST, request, respond) { submit(request, respond) }
             path.startsWith(JOB_PREFIX) -> routeJob(request, path.substring(JOB_PREFIX.length), respond)
             else -> respond(NO_PATH.toResponse())
@@ -70,8 +70,8 @@
         val isMalformed = rest.count { it == '/' } > 1 || (action.isEmpty() && '/' in rest)
         when {
             isMalformed -> respond(NO_PATH.toResponse())
-            action.isEmpty() -> ifMethod(Method.GET, request, respond) { onJob(id, respond, Event::Poll) }
-            action == "cancel" -> ifMethod(Method.POST, request, respond) { onJob(id, respond, Event::Cancel) }
+            action.isEmpty() -> ifMethod(Method.GET, request, respond) { enqueueJobRequest(id, respond, Event::Poll) }
+            action == "cancel" -> ifMethod(Method.POST, request, respond) { enqueueJobRequest(id, respond, Event::Cancel) }
             else -> respond(NO_PATH.toResponse())
         }
     }
@@ -91,13 +91,13 @@
     }
 
     /** What can't be the id of a job is refused here: the event loop need not know of it. */
-    private fun onJob(
+    private fun enqueueJobRequest(
         id: String,
         respond: Respond,
         event: (JobId, ReplyTo) -> Event,
     ) {
         if (!Submission.isJobId(id)) return respond(NO_JOB.toResponse())
-        pending.enqueueUserRequest(respond) { reply -> event(JobId(id), reply) }
+        unanswered.enqueueUserRequest(respond) { reply -> event(JobId(id), reply) }
     }
 
     private fun submit(
@@ -111,7 +111,7 @@
             } catch (e: MalformedException) {
                 return refuseMalformed(e, respond)
             }
-        pending.enqueueUserRequest(respond) { reply -> Event.Submit(spec, reply) }
+        unanswered.enqueueUserRequest(respond) { reply -> Event.Submit(spec, reply) }
     }
 
     /** A job that was accepted stays so, whatever its submission looks like when it is repeated: the event loop decides. */
@@ -121,15 +121,15 @@
     ) {
         val reason = error.message ?: MALFORMED
         val id = error.id ?: return respond(errorAnswer(BAD_REQUEST, reason).toResponse())
-        pending.enqueueUserRequest(respond) { reply -> Event.Malformed(JobId(id), reason, reply) }
+        unanswered.enqueueUserRequest(respond) { reply -> Event.Malformed(JobId(id), reason, reply) }
     }
 
-    private fun report(
+    private fun heartbeat(
         request: Request,
         respond: Respond,
     ) {
         val body = request.boundedBody() ?: return respond(TOO_LARGE.toResponse())
-        val report =
+        val heartbeat =
             try {
                 WireJson.decodeFromString(MachineReport.serializer(), body.decodeToString())
             } catch (e: IllegalArgumentException) {
@@ -137,16 +137,16 @@
                 LOG.debug("heartbeat malformed bytes={}", body.size, e)
                 return respond(errorAnswer(BAD_REQUEST, e.message ?: MALFORMED).toResponse())
             }
-        pending.enqueue(respond) { reply -> Event.Report(report, reply) }
+        unanswered.enqueue(respond) { reply -> Event.Report(heartbeat, reply) }
     }
 
-    private fun routeMesh(
+    private fun routePeerApi(
         request: Request,
         respond: Respond,
     ) {
         when (request.uri.path) {
             HINT_PATH -> ifMethod(Method.POST, request, respond) { hint(request, respond) }
-            STATUS_PATH -> ifMethod(Method.GET, request, respond) { pending.enqueue(respond, event = Event::Inspect) }
+            STATUS_PATH -> ifMethod(Method.GET, request, respond) { unanswered.enqueue(respond, event = Event::StatusRequest) }
             else -> respond(NO_PATH.toResponse())
         }
     }
@@ -157,7 +157,7 @@
         respond: Respond,
     ) {
         val hint = decodeHint(request.body.payload.array()) ?: return respond(NOT_A_HINT.toResponse())
-        pending.enqueue(respond) { reply -> Event.Hint(hint, reply) }
+        unanswered.enqueue(respond) { reply -> Event.Hint(hint, reply) }
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/users/PendingRequests.kt
+++ b/src/main/kotlin/mintpick/users/UnansweredRequests.kt
@@ -17,27 +17,27 @@
  *
  * @param offer puts an event into the event loop's queue; false if it is full
  * @param maxUserRequests how many users' requests may wait at once
- * @param steadyUs the steady clock, in microseconds
+ * @param monotonicUs the steady clock, in microseconds
  */
-internal class PendingRequests(
+internal class UnansweredRequests(
     private val offer: (Event) -> Boolean,
     private val maxUserRequests: Int,
-    private val steadyUs: () -> Micros,
+    private val monotonicUs: () -> Micros,
 ) {
     private val userRequests = AtomicInteger()
-    private val pending = ConcurrentLinkedQueue<PendingRequest>()
+    private val requests = ConcurrentLinkedQueue<UnansweredRequest>()
 
     /** One request. Whoever answers first, event loop or [expireOverdue], answers alone. */
-    private inner class PendingRequest(
-        val sinceUs: Micros,
+    private inner class UnansweredRequest(
+        val receivedUs: Micros,
         private val isUserRequest: Boolean,
         respond: Respond,
     ) : ReplyTo {
         // Cleared with the answer: what is answered must not be held in memory until it would be overdue.
-        private val open = AtomicReference<Respond?>(respond)
+        private val openResponse = AtomicReference<Respond?>(respond)
 
         override fun answer(answer: Answer) {
-            val respond = open.getAndSet(null) ?: return
+            val respond = openResponse.getAndSet(null) ?: return
             if (isUserRequest) userRequests.decrementAndGet()
             respond(answer.toResponse())
         }
@@ -59,17 +59,17 @@
         isUserRequest: Boolean = false,
         event: (ReplyTo) -> Event,
     ) {
-        val request = PendingRequest(steadyUs(), isUserRequest, respond)
-        pending += request
+        val request = UnansweredRequest(monotonicUs(), isUserRequest, respond)
+        requests += request
         if (!offer(event(request))) request.answer(TOO_MANY)
     }
 
     /** Answers requests that have waited too long. */
     fun expireOverdue() {
         while (true) {
-            val oldest = pending.peek() ?: return
-            if (steadyUs() - oldest.sinceUs < MAX_WAIT) return
-            pending.poll()
+            val oldest = requests.peek() ?: return
+            if (monotonicUs() - oldest.receivedUs < MAX_WAIT) return
+            requests.poll()
             oldest.answer(errorAnswer(UNAVAILABLE, "no answer in time", RETRY_AFTER_S))
         }
     }
--- a/src/test/kotlin/mintpick/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/mintpick/dependencies/DependencyGraphTest.kt
@@ -22,17 +22,17 @@
     private fun expected(
         job: Int,
         edges: Map<Int, Set<Int>>,
-        ends: Map<Int, PredecessorState>,
+        finalStates: Map<Int, PredecessorState>,
         known: Set<Int>,
     ): Readiness {
-        val needed = edges[job].orEmpty()
-        val isGone = { n: Int ->
-            ends[n] == PredecessorState.CANCELLED ||
-                (n in known && expected(n, edges, ends, known) == Readiness.WITHDRAWN)
+        val predecessors = edges[job].orEmpty()
+        val isCancelled = { n: Int ->
+            finalStates[n] == PredecessorState.CANCELLED ||
+                (n in known && expected(n, edges, finalStates, known) == Readiness.CANCELLED)
         }
         return when {
-            needed.any(isGone) -> Readiness.WITHDRAWN
-            needed.all { ends[it] == PredecessorState.DONE } -> Readiness.RELEASED
+            predecessors.any(isCancelled) -> Readiness.CANCELLED
+            predecessors.all { finalStates[it] == PredecessorState.DONE } -> Readiness.RELEASED
             else -> Readiness.WAITING
         }
     }
@@ -49,24 +49,25 @@
                 val edges = (0 until count).associateWith { n -> (0 until n).filter { random.nextInt(4) == 0 }.toSet() }
                 val graph = DependencyGraph()
                 val known = HashSet<Int>()
-                val ends = HashMap<Int, PredecessorState>()
+                val finalStates = HashMap<Int, PredecessorState>()
                 val stateOf = { job: JobId ->
                     val n = job.text.takeLast(6).toInt()
-                    ends[n] ?: if (graph.readiness(job) == Readiness.WITHDRAWN) PredecessorState.CANCELLED else PredecessorState.PENDING
+                    finalStates[n]
+                        ?: if (graph.readiness(job) == Readiness.CANCELLED) PredecessorState.CANCELLED else PredecessorState.PENDING
                 }
                 (0 until count).shuffled(java.util.Random(seed)).forEach { n ->
                     if (random.nextInt(3) == 0) {
                         // Over before it was seen waiting.
-                        val canEnd = edges.getValue(n).all { ends[it] == PredecessorState.DONE }
-                        ends[n] = if (canEnd && random.nextBoolean()) PredecessorState.DONE else PredecessorState.CANCELLED
-                        if (ends[n] == PredecessorState.DONE) graph.done(id(n)) else graph.cancelled(id(n))
+                        val canEnd = edges.getValue(n).all { finalStates[it] == PredecessorState.DONE }
+                        finalStates[n] = if (canEnd && random.nextBoolean()) PredecessorState.DONE else PredecessorState.CANCELLED
+                        if (finalStates[n] == PredecessorState.DONE) graph.markDone(id(n)) else graph.markCancelled(id(n))
                     } else {
                         known += n
                         val readiness = graph.add(id(n), edges.getValue(n).map(::id), stateOf)
-                        if (readiness == Readiness.WITHDRAWN) graph.cancelled(id(n))
+                        if (readiness == Readiness.CANCELLED) graph.markCancelled(id(n))
                     }
-                    known.forEach { assertEquals(expected(it, edges, ends, known), graph.readiness(id(it)), "job $it") }
-                    assertEquals(known.count { expected(it, edges, ends, known) == Readiness.WAITING }, graph.waitingCount)
+                    known.forEach { assertEquals(expected(it, edges, finalStates, known), graph.readiness(id(it)), "job $it") }
+                    assertEquals(known.count { expected(it, edges, finalStates, known) == Readiness.WAITING }, graph.waitingCount)
                 }
                 known.toList().forEach { graph.remove(id(it)) }
                 assertEquals(0, graph.waitingCount)
@@ -78,9 +79,9 @@
         val graph = DependencyGraph()
         val pending = { _: JobId -> PredecessorState.PENDING }
         (1..20_000).forEach { graph.add(id(it), listOf(id(it - 1)), pending) }
-        assertEquals((1..20_000).map(::id), graph.cancelled(id(0)))
-        assertEquals(emptyList<JobId>(), graph.cancelled(id(0)))
-        val paths = CriticalPaths(graph) { JobDemand(Priority.LOW, if (it == id(20_000)) 30_000 * SECOND else null, SECOND) }
+        assertEquals((1..20_000).map(::id), graph.markCancelled(id(0)))
+        assertEquals(emptyList<JobId>(), graph.markCancelled(id(0)))
+        val paths = CriticalPaths(graph) { JobRequirements(Priority.LOW, if (it == id(20_000)) 30_000 * SECOND else null, SECOND) }
         assertEquals(Urgency(Priority.LOW, 9_999 * SECOND), paths.urgency(id(0)))
     }
 
@@ -95,7 +96,7 @@
         val paths =
             CriticalPaths(graph) {
                 val n = it.text.takeLast(6).toInt()
-                JobDemand(if (n == 3) Priority.HIGH else Priority.LOW, if (n == 3) 200 * SECOND else null, runs.getValue(n) * SECOND)
+                JobRequirements(if (n == 3) Priority.HIGH else Priority.LOW, if (n == 3) 200 * SECOND else null, runs.getValue(n) * SECOND)
             }
         assertEquals(Urgency(Priority.HIGH, 195 * SECOND), paths.urgency(id(3)))
         assertEquals(Urgency(Priority.HIGH, 170 * SECOND), paths.urgency(id(1)))
--- a/src/test/kotlin/mintpick/differential/ComparedController.kt
+++ b/src/test/kotlin/mintpick/differential/ComparedController.kt
@@ -33,20 +33,20 @@
 
     override fun step(
         now: Micros,
-        wall: Micros,
+        wallClockUs: Micros,
         events: List<Event>,
     ): List<Effect> {
         step++
-        if (differs) return present.step(now, wall, events)
+        if (differs) return present.step(now, wallClockUs, events)
         val all = events + additionalEvents()
         note(now, all)
-        return compared(now, wall, all)
+        return compared(now, wallClockUs, all)
     }
 
     /** What no simulated user or person on call sends: questions for the status page, and submissions that break the format. */
     private fun additionalEvents(): List<Event> =
         buildList {
-            if (step % INSPECT_EVERY == 0L) add(Event.Inspect(ReplyTo { }))
+            if (step % INSPECT_EVERY == 0L) add(Event.StatusRequest(ReplyTo { }))
             if (step % MALFORMED_EVERY == 0L) add(Event.Malformed(malformedId(), "tasks: missing", ReplyTo { }))
         }
 
@@ -63,14 +63,14 @@
 
     private fun compared(
         now: Micros,
-        wall: Micros,
+        wallClockUs: Micros,
         events: List<Event>,
     ): List<Effect> {
         // Whoever goes second finds the processor's caches warm. Drawn: some work comes in every second step only.
         val baseFirst = order.nextBoolean()
-        val early = if (baseFirst) resultOf { base.step(now, wall, events) } else null
-        val ours = resultOf { present.step(now, wall, events) }
-        val theirs = early ?: resultOf { base.step(now, wall, events) }
+        val early = if (baseFirst) resultOf { base.step(now, wallClockUs, events) } else null
+        val ours = resultOf { present.step(now, wallClockUs, events) }
+        val theirs = early ?: resultOf { base.step(now, wallClockUs, events) }
         comparison.steps++
         comparison.events += events.size
         if (ours is StepResult.Returned) comparison.effects += ours.effects.size
--- a/src/test/kotlin/mintpick/differential/DifferentialReportTest.kt
+++ b/src/test/kotlin/mintpick/differential/DifferentialReportTest.kt
@@ -28,11 +28,11 @@
 
         override fun step(
             now: Micros,
-            wall: Micros,
+            wallClockUs: Micros,
             events: List<Event>,
         ): List<Effect> {
             step++
-            val effects = engine.step(now, wall, events)
+            val effects = engine.step(now, wallClockUs, events)
             if (alteredIn != null || step < from) return effects
             return alter(effects)?.also { alteredIn = step } ?: effects
         }
--- a/src/test/kotlin/mintpick/differential/EffectText.kt
+++ b/src/test/kotlin/mintpick/differential/EffectText.kt
@@ -33,7 +33,7 @@
         is Event.Cancel -> "cancel ${id.text}"
         is Event.Report -> "report $report".take(LONGEST)
         is Event.Hint -> "hint $hint".take(LONGEST)
-        is Event.Inspect -> "inspect"
+        is Event.StatusRequest -> "inspect"
         is Event.CallDone -> "call done id=$id ${outcome.shown()}"
     }
 
--- a/src/test/kotlin/mintpick/engine/state/MachineListLayoutTest.kt
+++ b/src/test/kotlin/mintpick/engine/state/MachineListLayoutTest.kt
@@ -21,7 +21,7 @@
 
     private fun record(n: Int) = MachineRecord("type-${n % 2}", "zone-${n % 3}", n % 5 == 0, "10.1.${n / 250}.${n % 250}:9000")
 
-    private fun MachineListLayout.all() = changed(Int.MAX_VALUE, Int.MAX_VALUE)
+    private fun MachineListLayout.all() = changedPieces(Int.MAX_VALUE, Int.MAX_VALUE)
 
     @Test
     fun `any number of machines is listed once each in pieces that fit, and all can be marked`(): Unit =
@@ -35,7 +35,7 @@
                 val limit = kilobytes * 1000.0 / if (format == RecordFormat.COMPACT) COMPACT_PART else 1
                 val pieces = MachineListLayout(emptyMap(), limit, format)
                 (0 until count).forEach { pieces.add(id(it), record(it)) }
-                (0 until count).forEach { assertTrue(pieces.mark(id(it), Retiring.DRAIN), "$it of $count in $kilobytes") }
+                (0 until count).forEach { assertTrue(pieces.markRetiring(id(it), Retiring.DRAIN), "$it of $count in $kilobytes") }
                 val written = pieces.all()
                 val listed = written.values.flatMap { RecordCodec.decodeMachineList(it.value).entries }
                 assertEquals(
@@ -78,27 +78,27 @@
         val tables = before.all().mapValues { it.value.machines }
         assertEquals(1, tables.size)
         val pieces = MachineListLayout(tables, 2_000.0, RecordFormat.COMPACT)
-        assertTrue(pieces.mark(id(7), Retiring.NOW))
-        val written = pieces.changed(5, Int.MAX_VALUE)
+        assertTrue(pieces.markRetiring(id(7), Retiring.NOW))
+        val written = pieces.changedPieces(5, Int.MAX_VALUE)
         assertTrue(written.size in 2..5, "${written.size} pieces")
         written.values.forEach { assertTrue(it.value.toString().length <= 2_000, "${it.value.toString().length} B") }
         val listed = written.values.flatMap { RecordCodec.decodeMachineList(it.value).entries }
         assertEquals(400, listed.size)
         assertEquals(tables.getValue(0).keys, listed.mapTo(HashSet()) { it.key })
         assertEquals(listOf(id(7)), listed.filter { it.value.retiring == Retiring.NOW }.map { it.key })
-        assertTrue(pieces.numbers.containsAll(written.keys), "all that is written is guarded")
+        assertTrue(pieces.guardedNumbers.containsAll(written.keys), "all that is written is guarded")
     }
 
     @Test
     fun `the next piece is among those that a write is guarded by`() {
-        assertEquals(setOf(0), MachineListLayout(emptyMap(), 16_000.0, RecordFormat.VERBOSE).numbers)
+        assertEquals(setOf(0), MachineListLayout(emptyMap(), 16_000.0, RecordFormat.VERBOSE).guardedNumbers)
         val pieces =
             MachineListLayout(
                 emptyMap(),
                 16_000.0,
                 RecordFormat.VERBOSE,
             ).apply { (0 until 500).forEach { add(id(it), record(it)) } }
-        assertEquals((0..pieces.all().size).toSet(), pieces.numbers)
+        assertEquals((0..pieces.all().size).toSet(), pieces.guardedNumbers)
     }
 
     @Test
@@ -109,8 +109,8 @@
                 16_000.0,
                 RecordFormat.VERBOSE,
             ).apply { (0 until 1000).forEach { add(id(it), record(it)) } }
-        assertEquals(2, pieces.changed(2, Int.MAX_VALUE).size)
-        assertEquals(1, pieces.changed(16, 100).size)
+        assertEquals(2, pieces.changedPieces(2, Int.MAX_VALUE).size)
+        assertEquals(1, pieces.changedPieces(16, 100).size)
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/simulation/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GuardsTest.kt
@@ -162,7 +162,7 @@
         }
     }
 
-    /** `CommandPlanner.isNoticed`: the notice in a copy drained a machine that nobody was to take. */
+    /** `CommandPlanner.hasTerminationNotice`: the notice in a copy drained a machine that nobody was to take. */
     @Test
     fun `a notice in a copy empties nothing`() {
         val cluster = serving(65)
--- a/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -10,7 +10,7 @@
 import mintpick.core.SECOND
 import mintpick.engine.runtime.Effect
 import mintpick.engine.runtime.EngineContext
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.engine.state.Write
 import mintpick.net.Call
@@ -46,7 +46,7 @@
         val state: SimulatedStateStore = SimulatedStateStore(),
     ) {
         private val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
-        val link = StateStoreClient(context, FormatGate(context))
+        val link = StateStoreClient(context, RecordFormatNegotiator(context))
         private val arrived = ArrayList<Pair<Long, Outcome>>()
         val held = ArrayList<Pair<Call, () -> Unit>>()
 
@@ -66,7 +66,7 @@
 
         private fun step() {
             now += STEP
-            context.begin(now, now)
+            context.startStep(now, now)
             state.tick(now)
             arrived.toList().also { arrived.clear() }.forEach { (id, outcome) -> context.callDone(id, outcome) }
             link.tick()
@@ -138,7 +138,7 @@
         run(SECOND / 2)
     }
 
-    private fun Link.knowsAll(jobs: Int) = (1..jobs).all { cache.knows(JobId("req-%06d".format(it))) }
+    private fun Link.knowsAll(jobs: Int) = (1..jobs).all { cache.isKnown(JobId("req-%06d".format(it))) }
 
     /** A question that waited for it was answered from an empty copy of the records: 404 for a job that is known. */
     @Test
@@ -146,7 +146,7 @@
         val controller = joined(5)
         controller.holds = { isCatchUp(it) || it.path.startsWith("/keys") }
         var known: Boolean? = null
-        controller.link.caughtUp { ok -> known = !ok || controller.knowsAll(5) }
+        controller.link.afterCatchUp { ok -> known = !ok || controller.knowsAll(5) }
         controller.run(SECOND / 2)
         assertEquals(1, controller.held.size, "the catch-up waits")
         controller.readAgain()
@@ -161,7 +161,7 @@
         val controller = joined(600)
         controller.holds = { isCatchUp(it) || isFurtherPage(it) }
         controller.outlastLog()
-        controller.link.caughtUp { }
+        controller.link.afterCatchUp { }
         controller.run(SECOND / 2)
         controller.readAgain()
         assertEquals(2, controller.held.size, "the refusal and the second page wait")
@@ -242,7 +242,7 @@
         controller.state.write(Change(put = Keys.job("req-000001"), value = RecordCodec.finalJson(StoredStage.DONE, 1)))
         controller.release("/keys")
         controller.run(2 * SECOND)
-        val isNew = { controller.cache.final(JobId("req-000001")) != null }
+        val isNew = { controller.cache.finalJob(JobId("req-000001")) != null }
         assertTrue(isNew() || !controller.link.isServing)
         controller.holds = { false }
         controller.release("/follow")
--- a/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
@@ -86,7 +86,7 @@
         }
     }
 
-    /** `CommandPlanner.requeueSent`: the old attempts were started again there, and then the requeue was carried out. */
+    /** `CommandPlanner.onRequeueSent`: the old attempts were started again there, and then the requeue was carried out. */
     @TestFactory
     fun `a requeue that is carried out late doubles no task of a machine that has come back`() =
         listOf(2L, 11L).map { seed ->
--- a/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
@@ -10,7 +10,7 @@
 import mintpick.engine.runtime.EngineContext
 import mintpick.engine.runtime.Event
 import mintpick.engine.runtime.ReplyTo
-import mintpick.engine.state.FormatGate
+import mintpick.engine.state.RecordFormatNegotiator
 import mintpick.engine.state.StateStoreClient
 import mintpick.net.Answer
 import mintpick.net.Call
@@ -251,13 +251,13 @@
     /** A controller's link to the state service, whose calls the test answers in the order it likes. */
     private class ScriptedLink {
         val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
-        val stateStore = StateStoreClient(context, FormatGate(context))
+        val stateStore = StateStoreClient(context, RecordFormatNegotiator(context))
         private val open = LinkedHashMap<Long, Call>()
         private var now = 0L
 
         private fun step() {
             now += 200 * MILLI
-            context.begin(now, now)
+            context.startStep(now, now)
             stateStore.tick()
             context.takeEffects().filterIsInstance<Effect.Start>().forEach { open[it.id] = it.call }
         }
@@ -306,14 +306,14 @@
         for ((status, body) in listOf(410 to "{}", 200 to NOTHING_NEW)) {
             val script = ScriptedLink().apply { serve() }
             val caughtUp = ArrayList<Boolean>()
-            script.stateStore.caughtUp { caughtUp += it }
+            script.stateStore.afterCatchUp { caughtUp += it }
             script.answer("wait_ms=10000", 410, "{}")
             script.page(1, more = true)
             assertTrue(script.isOpen("wait_ms=0") && caughtUp.isEmpty(), "the catch-up is under way")
             script.answer("wait_ms=0", status, body)
             assertEquals(listOf(false), caughtUp, "answered with $status")
             script.page(2, more = false)
-            assertTrue((1..2).all { script.context.cache.knows(JobId("req-$it")) }, "answered with $status")
+            assertTrue((1..2).all { script.context.cache.isKnown(JobId("req-$it")) }, "answered with $status")
             script.answer("wait_ms=0", 200, NOTHING_NEW)
             assertTrue(script.stateStore.isServing, "answered with $status")
             assertEquals(listOf(false), caughtUp, "answered with $status")
@@ -341,7 +341,7 @@
         val answers = ArrayList<Answer>()
         pendingRequests.addSubmission(batch(5)) { answers += it }
         script.context.cache.apply(Keys.job(id(5)), RecordCodec.finalJson(StoredStage.CANCELLED, 1), 20)
-        pendingRequests.submitted(JobId(id(5)))
+        pendingRequests.onSubmissionStored(JobId(id(5)))
         script.context
             .takeEffects()
             .filterIsInstance<Effect.Send>()
--- a/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
@@ -36,7 +36,7 @@
     fun interface Controller {
         fun step(
             now: Micros,
-            wall: Micros,
+            wallClockUs: Micros,
             events: List<Event>,
         ): List<Effect>
     }
--- a/src/test/kotlin/mintpick/upgrade/EngineVersion.kt
+++ b/src/test/kotlin/mintpick/upgrade/EngineVersion.kt
@@ -11,13 +11,15 @@
     val operators: String,
     val engine: String,
     val event: String,
+    /** Name of the event's subclass that requests the status page. */
+    val statusRequest: String,
     val replyTo: String,
     val jobSpec: String,
     val machineReport: String,
     val peerHint: String,
 ) {
     /** Classes by which a layout is told. */
-    val ownNames: List<String> get() = listOf(engine, replyTo)
+    val ownNames: List<String> get() = listOf(engine, replyTo, "$event\$$statusRequest")
 
     companion object {
         private val ONE_PACKAGE =
@@ -26,6 +28,7 @@
                 operators = "config.Operators",
                 engine = "engine.Engine",
                 event = "engine.Event",
+                statusRequest = "Inspect",
                 replyTo = "engine.ReplyTo",
                 jobSpec = "wire.JobSpec",
                 machineReport = "wire.MachineReport",
@@ -35,8 +38,11 @@
         /** Since the engine's packages are split by concern. */
         private val BY_CONCERN = ONE_PACKAGE.copy(event = "engine.runtime.Event", replyTo = "engine.runtime.ReplyTo")
 
+        /** Since [Event.StatusRequest][mintpick.engine.runtime.Event.StatusRequest] has its present name. */
+        private val STATUS_REQUEST = BY_CONCERN.copy(statusRequest = "StatusRequest")
+
         /** The layouts that versions have had: the first that a version's classes fit is taken. */
-        val KNOWN = listOf(ONE_PACKAGE, BY_CONCERN)
+        val KNOWN = listOf(STATUS_REQUEST, BY_CONCERN, ONE_PACKAGE)
     }
 }
 
--- a/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
+++ b/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
@@ -39,22 +39,22 @@
 
     override fun step(
         now: Micros,
-        wall: Micros,
+        wallClockUs: Micros,
         events: List<Event>,
     ): List<Effect> {
         val translated = events.map(::own)
-        val effects = cost.measure { invoke(now, wall, translated) }
+        val effects = cost.measure { invoke(now, wallClockUs, translated) }
         return effects.map { present(requireNotNull(it)) }
     }
 
     /** What the engine itself throws comes out as it is. */
     private fun invoke(
         now: Micros,
-        wall: Micros,
+        wallClockUs: Micros,
         events: List<Any>,
     ): List<*> =
         try {
-            step.invoke(engine, now, wall, events) as List<*>
+            step.invoke(engine, now, wallClockUs, events) as List<*>
         } catch (e: InvocationTargetException) {
             throw e.targetException
         }
@@ -67,7 +67,7 @@
             is Event.Cancel -> create("Cancel", event.id.text, own(event.reply))
             is Event.Report -> create("Report", own(layout.machineReport, MachineReport.serializer(), event.report), own(event.reply))
             is Event.Hint -> create("Hint", own(event.hint), own(event.reply))
-            is Event.Inspect -> create("Inspect", own(event.reply))
+            is Event.StatusRequest -> create(layout.statusRequest, own(event.reply))
             is Event.CallDone -> create("CallDone", event.id, event.outcome)
         }
 
--- a/src/test/kotlin/mintpick/users/RoutesTest.kt
+++ b/src/test/kotlin/mintpick/users/RoutesTest.kt
@@ -20,7 +20,7 @@
     private var now = 0L
     private val events = ArrayList<Event>()
     private val responses = ArrayList<Response>()
-    private val routes = Routes({ events.add(it) }, { true }, maxWaiting = 3) { now }
+    private val routes = Routes({ events.add(it) }, { true }, maxUserRequests = 3) { now }
 
     private fun send(
         method: Method,
@@ -28,14 +28,14 @@
         body: String = "",
     ) = routes.api(Request(method, path).body(MemoryBody(body))) { responses += it }
 
-    private val report =
+    private val heartbeat =
         """{"picker":"host-000001","endpoint":"10.0.0.1:1","breed":"m","plot":"z",""" +
             """"windfall":true,"shift":1,"tally":1,"baton":0,"pieces":[]}"""
 
     /** Workers held for an adoption once took every thread, so that health checks and users waited behind them. */
     @Test
     fun `a thousand reports that wait hold up neither health checks nor users`() {
-        repeat(1000) { send(Method.POST, "/checkin", report) }
+        repeat(1000) { send(Method.POST, "/checkin", heartbeat) }
         send(Method.GET, "/up")
         send(Method.GET, "/api/jobs/req-000001")
         assertEquals(listOf(200), responses.map { it.status.code })
@@ -59,10 +59,10 @@
     fun `what the owner never answers is given up in time, once`() {
         send(Method.GET, "/api/jobs/req-000001")
         now += 3 * SECOND
-        routes.giveUpLate()
+        routes.expireOverdueRequests()
         assertEquals(0, responses.size)
         now += SECOND
-        routes.giveUpLate()
+        routes.expireOverdueRequests()
         assertEquals(listOf(503), responses.map { it.status.code })
         (events[0] as Event.Poll).reply.answer(Answer.json(200, "{}"))
         assertEquals(1, responses.size)
@@ -74,7 +74,7 @@
         val hint = PeerHint("node-0", machines = (1..6000).map { MachineHint("host-%06d".format(it), 1) })
         val bytes = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
         assertTrue(bytes.size > 64 * 1024)
-        routes.mesh(Request(Method.POST, "/hint").body(MemoryBody(ByteBuffer.wrap(bytes)))) { responses += it }
+        routes.peerApi(Request(Method.POST, "/hint").body(MemoryBody(ByteBuffer.wrap(bytes)))) { responses += it }
         assertEquals(hint, (events.single() as Event.Hint).hint)
     }
 }
