--- a/src/main/kotlin/mintpick/dependencies/CriticalPaths.kt
+++ b/src/main/kotlin/mintpick/dependencies/CriticalPaths.kt
@@ -4,36 +4,36 @@
 import mintpick.core.Micros
 import mintpick.wire.Priority
 
-/** How urgent a job is for itself and for its successors. */
+/** The urgency of a job, derived from its own requirements and those of its successors. */
 data class Urgency(
-    /** The highest priority of the job itself and of all its successors, at any depth. */
+    /** The highest priority of the job and all its direct and indirect successors. */
     val priority: Priority,
-    /** When its tasks have to start at the latest, on the clock of deadlines; null: nobody set a deadline. */
+    /** Latest wall-clock time at which its tasks must start; null if neither the job nor a successor has a deadline. */
     val latestStartUs: Micros?,
 )
 
-/** What its own specification demands of one job. */
+/** Requirements in a job's own specification. */
 data class JobRequirements(
     val priority: Priority,
-    /** When it has to be done, on the clock of deadlines; null: no deadline. */
+    /** Wall-clock time by which the job must be done; null if it has no deadline. */
     val deadlineUs: Micros?,
-    /** How long its tasks are expected to run. */
+    /** Expected run time of the job's tasks. */
     val expectedRunUs: Micros,
 )
 
 /**
- * The critical path method over the [graph]: a job has to start early enough for all its successors. Results are cached
- * until the graph changes. Event-loop thread only.
+ * Applies the critical path method to [graph]: each job must start early enough for all its successors to meet their
+ * deadlines. Results are cached until the graph changes. Event-loop thread only.
  */
 class CriticalPaths(
     private val graph: DependencyGraph,
-    /** The demand of a job; null if nothing is known of it. */
+    /** Returns the requirements of a job, or null if the job is unknown. */
     private val requirementsOf: (JobId) -> JobRequirements?,
 ) {
     private val urgencies = HashMap<JobId, Urgency?>()
     private var cachedVersion = -1L
 
-    /** How urgent [job] is; null if nothing is known of it. */
+    /** The urgency of [job]; null if the job is unknown. */
     fun urgency(job: JobId): Urgency? {
         if (cachedVersion != graph.version) {
             urgencies.clear()
@@ -43,7 +43,7 @@
         return urgencies[job]
     }
 
-    /** Depth-first with a stack of its own: a pipeline may be deeper than the thread's. */
+    /** Traverses depth-first with an explicit stack: recursion over a long chain of jobs would overflow the thread's stack. */
     private fun computeWithSuccessors(job: JobId) {
         val stack = ArrayDeque(listOf(job))
         while (stack.isNotEmpty()) {
--- a/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
@@ -2,37 +2,38 @@
 
 import mintpick.core.JobId
 
-/** The state of a job that others depend on. */
+/** The state of a job that other jobs depend on. */
 enum class PredecessorState {
-    /** Not known yet, or neither done nor cancelled. */
+    /** Unknown, or neither done nor cancelled. */
     PENDING,
 
-    /** Done: it holds nobody back. */
+    /** Done: no longer blocks its successors. */
     DONE,
 
     /** Cancelled: its successors never run. */
     CANCELLED,
 }
 
-/** Whether a job's dependencies let its tasks start. */
+/** Whether a job's dependencies allow its tasks to start. */
 enum class Readiness {
     /** At least one predecessor is not done. */
     WAITING,
 
-    /** All predecessors are done: its tasks may start. */
+    /** All predecessors are done, so the job's tasks may start. */
     RELEASED,
 
-    /** A predecessor, direct or indirect, is cancelled: it never runs. */
+    /** A direct or indirect predecessor is cancelled, so the job never runs. */
     CANCELLED,
 }
 
 /**
- * The directed acyclic graph of dependencies between jobs, and what follows from the end of one. Nothing here is stored:
- * all of it is derived from the jobs' records, in whichever order they become known, so it is the same for every
- * controller that knows them. Event-loop thread only.
+ * Directed acyclic graph of dependencies between jobs. Propagates the end of a job to its successors. Event-loop thread only.
  *
- * A job may only name jobs that were accepted before it, so there are no cycles. A change costs what it affects: jobs that
- * go on waiting are not visited.
+ * The graph is derived from job records and is not stored itself. The result does not depend on the order in which records
+ * become known, so all controllers with the same records have the same graph.
+ *
+ * A job can only depend on jobs that were accepted before it, so there are no cycles. A change of one job visits only its
+ * successors, never all waiting jobs.
  */
 class DependencyGraph {
     private class Node(
@@ -48,22 +49,22 @@
     var version = 0L
         private set
 
-    /** How many jobs wait for others. */
+    /** Number of jobs that are waiting for predecessors. */
     var waitingCount = 0
         private set
 
-    /** The readiness of [job]; one without predecessors, or of which nothing is known here, is released. */
+    /** The readiness of [job]. A job that has no predecessors or is unknown here is [Readiness.RELEASED]. */
     fun readiness(job: JobId): Readiness = nodes[job]?.readiness ?: Readiness.RELEASED
 
-    /** Jobs that [job] names; none if it is over or not known here. */
+    /** Direct predecessors of [job]; empty if the job has ended or is unknown here. */
     fun predecessors(job: JobId): Set<JobId> = nodes[job]?.predecessors.orEmpty()
 
-    /** Jobs that name [job] and are not over themselves. */
+    /** Direct successors of [job] that have not ended. */
     fun successors(job: JobId): Set<JobId> = successors[job].orEmpty()
 
     /**
-     * Adds a job that is not over, with the state of its predecessors by [stateOf]; a known one keeps its edges. Returns its
-     * readiness.
+     * Adds a job that has not ended; [stateOf] returns the states of its predecessors. A job that was added before keeps its
+     * edges. Returns the job's readiness.
      */
     fun add(
         job: JobId,
@@ -87,7 +88,7 @@
         return readiness
     }
 
-    /** Removes a job that is over. What follows for its successors is the matter of [markDone] or [markCancelled]. */
+    /** Removes a job that has ended. Does not update its successors: [markDone] and [markCancelled] do. */
     fun remove(job: JobId) {
         val node = nodes.remove(job) ?: return
         if (node.readiness == Readiness.WAITING) waitingCount--
@@ -99,7 +100,7 @@
         version++
     }
 
-    /** [job] is done. Returns the jobs that are released by that: it was the last predecessor that they waited for. */
+    /** Marks [job] as done. Returns the jobs that this releases: those that were waiting for no other predecessor. */
     fun markDone(job: JobId): List<JobId> {
         val released = ArrayList<JobId>()
         for (successor in successors(job)) {
@@ -114,7 +115,7 @@
         return released
     }
 
-    /** [job] is cancelled. Returns all jobs that are withdrawn with it, at any depth. */
+    /** Marks [job] as cancelled. Returns all direct and indirect successors that this cancels. */
     fun markCancelled(job: JobId): List<JobId> {
         val cancelled = ArrayList<JobId>()
         val queue = ArrayDeque(successors(job))
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -55,8 +55,8 @@
 import java.util.random.RandomGenerator
 
 /**
- * The state machine of one controller, which owns all its state: a batch of events goes in, effects come out. It has no threads,
- * clock or I/O of its own. Event-loop thread only.
+ * The state machine of one controller. It owns all state, takes batches of events and returns effects. It has no threads, clock
+ * or I/O of its own. Event-loop thread only.
  */
 class Engine(
     private val settings: Settings,
@@ -99,8 +99,8 @@
     private val jobAnswers = JobAnswers(context, stateStore)
     private val pendingRequests = PendingRequests(context, stateStore, jobAnswers)
     private val submissionValidator = SubmissionValidator(context, formats, transactionLimits)
-    private val userRequests = UserRequestHandler(context, stateStore, pendingRequests, submissionValidator, jobAnswers)
-    private val jobUpdates = JobUpdateWriter(context, stateStore, pendingRequests, commandPlanner, formats, transactionLimits)
+    private val userRequestHandler = UserRequestHandler(context, stateStore, pendingRequests, submissionValidator, jobAnswers)
+    private val jobUpdateWriter = JobUpdateWriter(context, stateStore, pendingRequests, commandPlanner, formats, transactionLimits)
     private val machineMonitor =
         MachineMonitor(
             context,
@@ -110,28 +110,28 @@
             BorrowedMachines(context, stateStore, shardClaims, scheduler),
         )
     private val sweeper = RecordSweeper(context, stateStore, shardClaims, pendingRequests)
-    private val updateCycle = JobUpdateCycle(context, stateStore, shardClaims, reconciler, scheduler, pendingRequests, jobUpdates)
+    private val updateCycle = JobUpdateCycle(context, stateStore, shardClaims, reconciler, scheduler, pendingRequests, jobUpdateWriter)
     private val machineHints = MachineHints(context, shardClaims, agents, reconciler, commandPlanner)
     private val hintExchange = PeerHintExchange(context, stateStore, health, reconciler, machineHints)
     private val statusReporter =
-        StatusReporter(context, stateStore, shardClaims, formats, pendingRequests, jobUpdates, usageAccounting)
+        StatusReporter(context, stateStore, shardClaims, formats, pendingRequests, jobUpdateWriter, usageAccounting)
     private var lastStepUs: Micros = 0
 
-    /** Asked in later steps only, when all parts of the engine exist. */
+    /** Must not be used before the first step, because it refers to parts of the engine that are created later. */
     private inner class Connectivity : ClusterConnectivity {
         override val hasHintsFromAllPeers: Boolean get() = health.hasHintsFromAllSince(context.now - MAX_HINT_AGE)
         override val canReachAgents: Boolean get() = !agents.isIsolatedFromAgents
     }
 
-    /** Whether `/up` says that requests may come here, as of the last step. */
+    /** The answer of `/up` as of the last step: whether this controller accepts requests. */
     val isUp: Boolean get() = health.isUp()
 
     /**
-     * Takes [events] in their order and does what time calls for.
+     * Handles [events] in order, then performs all work that is due.
      *
-     * @param now the steady clock in microseconds, never less than in the step before
-     * @param wallClockUs the time of day in microseconds since 1970, within the settings' bound of the true time
-     * @return answers to send and calls to start, in this order
+     * @param now the monotonic clock in microseconds; must not be less than in the previous step
+     * @param wallClockUs the wall clock in microseconds since 1970; its error must be within the bound of the settings
+     * @return answers to send and calls to start, to be performed in the order of the list
      */
     fun step(
         now: Micros,
@@ -145,7 +145,7 @@
         planCapacity()
         updateAgents()
         updateCycle.tick()
-        userRequests.tick()
+        userRequestHandler.tick()
         hintExchange.tick(scheduler.lacksCapacity)
         return context.takeEffects()
     }
@@ -176,8 +176,8 @@
     }
 
     /**
-     * After a pause of the process leases may have expired, and calls have failed for our own fault: what the clock no longer
-     * proves is given up before the first event is handled.
+     * Detects that the process was paused since the last step. Leases may have expired meanwhile, and calls may have failed
+     * only because of the pause. State that is no longer certain is discarded before the first event is handled.
      */
     private fun detectProcessPause() {
         val sinceLastStep = context.now - lastStepUs
@@ -189,7 +189,7 @@
         agents.onProcessPause()
     }
 
-    /** A defect met by one event must not cost the others, outcomes of calls that somebody waits for among them. */
+    /** Handles [event] and logs exceptions, so that a defect triggered by one event does not prevent the handling of others. */
     private fun handleSafely(event: Event) {
         try {
             handle(event)
@@ -200,10 +200,10 @@
 
     private fun handle(event: Event) {
         when (event) {
-            is Event.Submit -> userRequests.submit(event.spec, event.reply)
-            is Event.Malformed -> userRequests.rejectMalformed(event.id, event.reason, event.reply)
-            is Event.Poll -> userRequests.poll(event.id, event.reply)
-            is Event.Cancel -> userRequests.cancel(event.id, event.reply)
+            is Event.Submit -> userRequestHandler.submit(event.spec, event.reply)
+            is Event.Malformed -> userRequestHandler.rejectMalformed(event.id, event.reason, event.reply)
+            is Event.Poll -> userRequestHandler.poll(event.id, event.reply)
+            is Event.Cancel -> userRequestHandler.cancel(event.id, event.reply)
             is Event.Report -> agents.onHeartbeat(event.report, event.reply)
             is Event.Hint -> context.send(event.reply, hintExchange.answer(event.hint, scheduler.lacksCapacity))
             is Event.StatusRequest -> sendStatus(event.reply)
@@ -220,10 +220,10 @@
         val LOG = LoggerFactory.getLogger(Engine::class.java)
         const val OK = 200
 
-        /** Steps are at most a twentieth of a second apart, and a few tenths when the processor is short. */
+        /** Steps are normally at most 50 ms apart, and a few hundred milliseconds under CPU contention. */
         const val PROCESS_PAUSE: Micros = 2_000 * MILLI
 
-        /** Within this time every peer must have been heard for shards to go back to their preferred controllers. */
+        /** Each peer must have sent a hint within this time for shards to be moved back to their preferred controllers. */
         const val MAX_HINT_AGE: Micros = 3_000 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/EventLoop.kt
+++ b/src/main/kotlin/mintpick/engine/EventLoop.kt
@@ -12,11 +12,12 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The thread that owns the engine: it drains the event queue in batches, steps the engine and carries out its effects.
+ * Runs the engine: takes events from a queue in batches, steps the engine and performs its effects. The thread that calls [run]
+ * is the event-loop thread.
  *
- * @param startCall starts a call; its outcome comes back through [put]
- * @param monotonicUs the steady clock, in microseconds
- * @param wallClockUs the time of day, in microseconds since 1970
+ * @param startCall starts a call; its outcome must be passed to [put]
+ * @param monotonicUs reads the monotonic clock, in microseconds
+ * @param wallClockUs reads the wall clock, in microseconds since 1970
  */
 class EventLoop(
     private val engine: Engine,
@@ -26,20 +27,20 @@
 ) {
     private val queue = ArrayBlockingQueue<Event>(QUEUE_CAPACITY)
 
-    /** Outcomes of calls that were not made; the event loop must not wait for room in its own queue. */
+    /** Outcomes of calls that were not sent. They bypass the queue, because the event loop must not wait for space in it. */
     private val notSentOutcomes = ArrayList<Event>()
 
     @Volatile private var isEngineUp = false
 
     @Volatile private var lastStepUs: Micros = 0
 
-    /** Queues a request; false if the queue is full, and the caller refuses instead of waiting. Any thread. */
+    /** Queues a request; returns false if the queue is full, and the caller must then refuse the request. Any thread. */
     fun offer(event: Event): Boolean = queue.offer(event)
 
-    /** Queues what must not be lost, outcomes of our own calls, and waits for room if it has to. Any thread but the event loop's. */
+    /** Queues an event that must not be lost, such as the outcome of a call; blocks while the queue is full. Any other thread. */
     fun put(event: Event) = queue.put(event)
 
-    /** Whether requests should come here; an event loop that is paused or falls far behind takes none. Any thread. */
+    /** Whether this controller accepts requests; false also while the event loop is paused or far behind. Any thread. */
     fun isUp(): Boolean = isEngineUp && monotonicUs() - lastStepUs < MAX_STEP_GAP
 
     /** Runs until the thread is interrupted. */
@@ -51,7 +52,7 @@
                 stepSafely(batch)
             }
         } catch (_: InterruptedException) {
-            // Interrupted while it waited for an event: the flag tells whoever runs this thread.
+            // Interrupted while waiting for an event: restores the interrupt flag for the owner of this thread.
             Thread.currentThread().interrupt()
         }
     }
@@ -64,7 +65,7 @@
         notSentOutcomes.clear()
     }
 
-    /** One bad step must not end the service: what was lost is read again or asked again. */
+    /** Steps the engine and logs exceptions: one failed step must not end the service. Lost data is read or requested again. */
     private fun stepSafely(batch: List<Event>) {
         try {
             step(batch)
@@ -83,8 +84,9 @@
     }
 
     /**
-     * The process was paused since the step began: what was decided then may be overtaken, by a lease that has expired or by
-     * what other controllers have said since. Nothing of it leaves; whoever waits is to ask again.
+     * Discards an effect of a step during which the process was paused. Its decision may be outdated, because a lease may have
+     * expired or other controllers may have acted meanwhile. Requests are answered with 503 and a retry delay; calls are
+     * reported to the engine as not sent.
      */
     private fun refuse(effect: Effect) {
         when (effect) {
@@ -110,8 +112,8 @@
         const val RETRY_AFTER_S = 1
 
         /**
-         * A step acts only if the state store has served us within 2.5 s: with this the lease of 5 s still holds. Far above
-         * what a step takes when the processor is short.
+         * Longest time from the start of a step to its effects. A step acts only if the state store has served this controller
+         * within the last 2.5 s, so the lease of 5 s is still valid at this age. Steps are far shorter even under CPU contention.
          */
         const val MAX_STEP_AGE: Micros = 2_000 * MILLI
     }
--- a/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
+++ b/src/main/kotlin/mintpick/engine/JobUpdateCycle.kt
@@ -14,8 +14,8 @@
 import mintpick.wire.StoredStage
 
 /**
- * Gathers what has become of jobs within a moment into few transactions: cancellations, outcomes of tasks, placements and the
- * final records of cancelled jobs. Event-loop thread only.
+ * Batches changes of jobs into few transactions: cancellations, outcomes of tasks, placements and the final records of cancelled
+ * jobs. Event-loop thread only.
  */
 internal class JobUpdateCycle(
     private val context: EngineContext,
@@ -24,28 +24,28 @@
     private val reconciler: Reconciler,
     private val scheduler: Scheduler,
     private val pendingRequests: PendingRequests,
-    private val jobUpdates: JobUpdateWriter,
+    private val jobUpdateWriter: JobUpdateWriter,
 ) {
     private var nextCycleUs: Micros = 0
 
-    /** Runs a cycle if the last one is long enough ago and a transaction may leave. */
+    /** Runs a cycle if the interval since the last one has passed and a transaction may be sent. */
     fun tick() {
-        if (context.now < nextCycleUs || !jobUpdates.canSend) return
+        if (context.now < nextCycleUs || !jobUpdateWriter.canSend) return
         nextCycleUs = context.now + CYCLE_INTERVAL
         val drafts = LinkedHashMap<JobId, JobUpdate>()
         val draftOf: (JobId) -> JobUpdate? = { id -> drafts[id] ?: newDraft(id)?.also { drafts[id] = it } }
         draftCancellations(draftOf)
         reconciler.jobsToWrite().forEach { draftOf(it) }
         draftFinalRecords(draftOf)
-        if (stateStore.isReachable) scheduler.schedule(jobUpdates, drafts, draftOf)
-        if (jobUpdates.commit(drafts.values, scheduler.lacksWriteBudget)) scheduler.onPlacementsNotWritten()
+        if (stateStore.isReachable) scheduler.schedule(jobUpdateWriter, drafts, draftOf)
+        if (jobUpdateWriter.commit(drafts.values, scheduler.lacksWriteBudget)) scheduler.onPlacementsNotWritten()
     }
 
-    /** A draft that holds all that is proven of the job; null if it is unknown or a transaction with it is under way. */
+    /** A draft with all confirmed task states of the job; null if the job is unknown or must not be planned now. */
     private fun newDraft(id: JobId): JobUpdate? {
         val job = context.cache.job(id) ?: return null
-        if (!jobUpdates.isAvailable(id)) return null
-        return JobUpdate(job, jobUpdates.limits).also(reconciler::apply)
+        if (!jobUpdateWriter.isAvailable(id)) return null
+        return JobUpdate(job, jobUpdateWriter.limits).also(reconciler::apply)
     }
 
     private fun draftCancellations(draftOf: (JobId) -> JobUpdate?) {
@@ -56,11 +56,11 @@
     }
 
     /**
-     * Cancelled jobs without a task left get final records, so that they are not kept open for ever. Only housekeeping, which
-     * waits until nothing else needs the writes: that they are cancelled is known anyway.
+     * Writes final records of cancelled jobs that have no task left, whose records would otherwise stay open forever. Uses only
+     * writes that nothing else needs, because the cancellations themselves are already known.
      */
     private fun draftFinalRecords(draftOf: (JobId) -> JobUpdate?) {
-        val writes = jobUpdates.writeBudget() - RESERVED_WRITES
+        val writes = jobUpdateWriter.writeBudget() - RESERVED_WRITES
         if (writes <= 0) return
         val own = context.cache.finalizableJobs().filter { shardClaims.preferredController(it.id) == context.self }
         own.take(minOf(writes, MAX_FINAL_RECORDS)).toList().forEach { draftOf(it.id)?.writeFinalRecord() }
--- a/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
+++ b/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
@@ -20,7 +20,7 @@
 import mintpick.wire.PeerHint
 import mintpick.wire.decodeHint
 
-/** What this controller tells its peers of the machines that it commands. */
+/** The machines that this controller commands, as listed in its peer hints. */
 internal class MachineHints(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
@@ -28,7 +28,7 @@
     private val reconciler: Reconciler,
     private val commandPlanner: CommandPlanner,
 ) {
-    /** Reachable machines that take work, with the age of their last heartbeat; image names are collected in [imageIndexes]. */
+    /** Reachable machines that accept work, with the age of their last heartbeat. Image names are added to [imageIndexes]. */
     fun collect(imageIndexes: MutableMap<String, Int>): List<MachineHint> =
         usableMachines().map { view ->
             val images = view.imageNames.map { imageIndexes.getOrPut(it) { imageIndexes.size } }
@@ -46,8 +46,8 @@
 }
 
 /**
- * Exchanges hints with the other controllers: what each is served by, which machines it hears and which jobs it knows to be
- * cancelled. Event-loop thread only.
+ * Exchanges hints with all peers. A hint says when the state store last served its sender, which machines send heartbeats to it
+ * and which jobs it knows to be cancelled. Event-loop thread only.
  */
 internal class PeerHintExchange(
     private val context: EngineContext,
@@ -60,7 +60,7 @@
     private var hintRounds = 0
     private var wasShortageAnnounced = false
 
-    /** Sends a hint to every peer once a second, and earlier when [lacksCapacity] has just become true: a peer may have room. */
+    /** Sends a hint to every peer once a second, and earlier when [lacksCapacity] has just become true, as a peer may have capacity. */
     fun tick(lacksCapacity: Boolean) {
         val isNewShortage = lacksCapacity && !wasShortageAnnounced && context.now >= nextHintUs - HINT_INTERVAL + HINT_MIN_INTERVAL
         if (context.now < nextHintUs && !isNewShortage) return
@@ -70,7 +70,7 @@
         context.settings.peers.forEach { send(NodeId(it.node), it.address.toString(), body) }
     }
 
-    /** Takes a peer's hint; the answer is our own. */
+    /** Stores a peer's hint; the answer is the hint of this controller. */
     fun answer(
         received: PeerHint,
         lacksCapacity: Boolean,
@@ -95,7 +95,7 @@
 
     private fun encode(hint: PeerHint): ByteArray = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
 
-    /** Machines are listed in every other hint only: with a thousand of them the list is most of its size. */
+    /** Builds a hint. Callers list machines in every second hint only, because a list of a thousand machines is most of its size. */
     private fun hint(
         lacksCapacity: Boolean,
         listsMachines: Boolean,
--- a/src/main/kotlin/mintpick/engine/StatusReporter.kt
+++ b/src/main/kotlin/mintpick/engine/StatusReporter.kt
@@ -10,17 +10,17 @@
 import mintpick.wire.NodeStatus
 import mintpick.wire.StatusLimits
 
-/** Puts together the status page of this controller, for people on call. Event-loop thread only. */
+/** Builds the status page of this controller for operators. Event-loop thread only. */
 internal class StatusReporter(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
     private val shardClaims: ShardClaims,
     private val formats: RecordFormatNegotiator,
     private val pendingRequests: PendingRequests,
-    private val jobUpdates: JobUpdateWriter,
+    private val jobUpdateWriter: JobUpdateWriter,
     private val usageAccounting: UsageAccounting,
 ) {
-    /** The state as of the current step. */
+    /** The status as of the current step. */
     fun status(): NodeStatus {
         val cache = context.cache
         return NodeStatus(
@@ -64,7 +64,7 @@
             context.settings.limits.writeRps,
             context.settings.limits.rps,
             formats.maxValueBytes.toInt(),
-            jobUpdates.limits.maxChanges,
-            jobUpdates.limits.maxGuards,
+            jobUpdateWriter.limits.maxChanges,
+            jobUpdateWriter.limits.maxGuards,
         )
 }
--- a/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The machines as their agents show them: the view of each, which of them this controller controls and since when, and the
- * tombstones of those that are terminated. Times are microseconds of the steady clock. Event-loop thread only.
+ * In-memory index of machines: the view of each one, built from its agent's messages; the machines that this controller
+ * controls and since when; and tombstones of terminated machines. Times are microseconds of the monotonic clock. Event-loop
+ * thread only.
  */
 internal class AgentIndex(
     private val context: EngineContext,
@@ -25,21 +26,21 @@
     private val shardClaims: ShardClaims,
     private val health: ControllerHealth,
 ) {
-    /** Since when a machine has been under this controller's control without a break, and the fencing token that it began with. */
+    /** Start of this controller's uninterrupted control of a machine, and the fencing token at that time. */
     private class ControlPeriod(
         val sinceUs: Micros,
         val firstToken: Long,
     )
 
-    /** The iteration order of this map decides the order in which machines are listed and hinted. */
+    /** The iteration order of this map determines the order in which machines are listed and included in peer hints. */
     private val viewsByMachine = HashMap<MachineId, MachineView>()
 
-    /** A map of its own, since its iteration order decides in which order machines are confirmed, probed and given tasks. */
+    /** Separate from the views because its iteration order determines the order in which machines are confirmed, probed and given tasks. */
     private val controlPeriods = HashMap<MachineId, ControlPeriod>()
     private val tombstones = HashSet<MachineId>()
     private val updatedMachines = HashSet<MachineId>()
 
-    /** Attempts whose first sight was logged: kept while debug logging is on, and for nothing else. */
+    /** Attempts whose start has been logged. Filled only while debug logging is enabled. */
     private val loggedAttempts = HashSet<AttemptId>()
     private var lastControlEpoch = -1L
     private var lastLease: Long? = null
@@ -47,27 +48,27 @@
 
     private val cache get() = context.cache
 
-    /** What is known of [machine]; null: it was never heard or called, or it is terminated. */
+    /** The view of [machine], or null if it was never contacted or is terminated. */
     fun view(machine: MachineId): MachineView? = viewsByMachine[machine]
 
-    /** The view of [machine], an empty one that begins now if there was none. */
+    /** The view of [machine]; creates an empty one if there is none. */
     fun viewOrCreate(machine: MachineId): MachineView = viewsByMachine.getOrPut(machine) { MachineView(machine, context.now) }
 
-    /** The views of all machines, those of other controllers included. */
+    /** The views of all machines, including those of other controllers. */
     fun views(): Collection<MachineView> = viewsByMachine.values
 
-    /** Machines under this controller's control, as of the last [updateControlledMachines]. */
+    /** Machines controlled by this controller, as of the last [updateControlledMachines]. */
     val controlledMachines: Set<MachineId> get() = controlPeriods.keys
 
-    /** Machines whose status has come since the last call. */
+    /** Returns and clears the set of machines whose status was received since the last call. */
     fun takeUpdatedMachines(): Set<MachineId> = updatedMachines.toSet().also { updatedMachines.clear() }
 
     /** Whether [machine] has a tombstone. */
     fun isTerminated(machine: MachineId): Boolean = machine in tombstones
 
     /**
-     * Puts a tombstone for [machine], which is proven gone: what still comes under this name are late copies, which must not
-     * make a record of it again.
+     * Replaces the view of [machine] by a tombstone. The machine is proven to be terminated, so later messages with its name
+     * are delayed copies and must not add it to the records again.
      */
     fun markTerminated(machine: MachineId) {
         tombstones += machine
@@ -75,12 +76,12 @@
         controlPeriods.remove(machine)
     }
 
-    /** Notes the process pause that has just ended: silence during it says nothing of the machines. */
+    /** Records the end of a process pause. Missing heartbeats during the pause don't indicate a machine failure. */
     fun onProcessPause() {
         pauseEndedUs = context.now
     }
 
-    /** Takes in the tasks and images that the newest status of a machine, [report], shows. */
+    /** Records the tasks and images in [report], the newest status of a machine. */
     fun onNewStatus(
         view: MachineView,
         report: MachineReport,
@@ -105,20 +106,20 @@
         view.recordImage(job.spec.image, job.spec.imageGb, cacheGb)
     }
 
-    /** Whether the last status is recent enough for the machine to be given work. */
+    /** Whether the last status is recent enough for new work to be placed on the machine. */
     fun isFresh(view: MachineView): Boolean = context.now - view.heardUs < maxHeartbeatIntervalUs + FRESH_MARGIN
 
-    /** Whether neither a heartbeat nor an answer to a call has come when a heartbeat was overdue. */
+    /** Whether a heartbeat is overdue and no answer to a call was received in its place. */
     fun isUnresponsive(view: MachineView): Boolean = context.now - view.heardUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
 
-    /** Whether the next heartbeat is overdue, whatever answers to calls came. */
+    /** Whether the next heartbeat is overdue, regardless of answers to calls. */
     fun isHeartbeatOverdue(view: MachineView): Boolean = context.now - view.reportedUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
 
     private val maxHeartbeatIntervalUs: Micros get() = context.settings.reportUs * 5 / 4
 
     /**
-     * Whether the agent has shown the fencing token of this controller's claim, so that its status is newer than the claim.
-     * Heartbeats alone prove no more than that somebody sent them once: copies may arrive much later.
+     * Whether the agent has returned the fencing token of this controller's claim, which proves that its status is newer than
+     * the claim. Receiving heartbeats is not enough, because delayed copies may arrive much later.
      */
     fun isConfirmed(view: MachineView): Boolean {
         val claim = shardClaims.controlClaim(view.id) ?: return false
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Since when [machine] has been silent towards this controller although under its control: a machine that has just come
-     * under our control sent its heartbeats elsewhere until now.
+     * Start of the time in which [machine] could have contacted this controller but did not. It starts no earlier than control
+     * of the machine, which sent its heartbeats to another controller before, and no earlier than the last process pause ended.
      */
     fun noContactSince(machine: MachineId): Micros {
         val heardUs = viewsByMachine[machine]?.heardUs ?: 0
@@ -135,7 +136,10 @@
         return maxOf(heardUs, controlledSinceUs, pauseEndedUs)
     }
 
-    /** Whether [machine] came under control a moment ago and is not yet confirmed, or the records are older than its claim. */
+    /**
+     * Whether control of [machine] was acquired within [CONFIRMATION_GRACE_PERIOD], and its agent has not confirmed the claim
+     * or the cached records are older than the claim.
+     */
     fun isAwaitingConfirmation(machine: MachineId): Boolean {
         val claim = shardClaims.controlClaim(machine) ?: return false
         val controlledSinceUs = controlPeriods[machine]?.sinceUs ?: context.now
@@ -143,20 +147,20 @@
         return cache.revision < claim.version || (viewsByMachine[machine]?.token ?: 0) < claim.version
     }
 
-    /** Whether the agent's lease has surely expired, so that it has killed its tasks: nobody can have renewed the lease. */
+    /** Whether the agent's lease has certainly expired, so that it has killed its tasks: no controller can have renewed the lease. */
     fun hasLeaseExpired(view: MachineView): Boolean {
         val period = controlPeriods[view.id] ?: return false
         if (!shardClaims.controls(view.id)) return false
         if (!view.hasLeaseExpired(context.now, period.sinceUs, period.firstToken, context.settings.leaseUs)) return false
-        // Another controller in its zone may have answered its heartbeats on our behalf.
+        // Another controller in the machine's zone may have answered its heartbeats on behalf of this controller.
         val answeredOnBehalfUntilUs = health.peerRenewalsUntil(cache.machines[view.id]?.record?.zone) ?: return false
         return MachineView.isLeaseExpired(context.now, answeredOnBehalfUntilUs, context.settings.leaseUs)
     }
 
     /**
-     * Brings the set of controlled machines up to date. Control changes with few records, and every such change has to be
-     * seen before any machine is judged: a machine that had just come back under our control was once given up for calls
-     * that had failed before we lost it.
+     * Updates the set of controlled machines if claims, borrowings, the controller's lease or the machine list have changed.
+     * Must run before machine health is evaluated. Without this order, a machine that had just come back under control was
+     * released because of calls that had failed before control of it was lost.
      */
     fun updateControlledMachines(): ControlUpdate {
         if (cache.controlEpoch == lastControlEpoch && stateStore.lease == lastLease) return ControlUpdate.Unchanged
@@ -179,23 +183,23 @@
     companion object {
         private val LOG = LoggerFactory.getLogger(AgentIndex::class.java)
 
-        /** By how much a status may be older than a heartbeat is due while the machine is still given work. */
+        /** How much older than the longest heartbeat interval a status may be for new work to be placed on the machine. */
         private const val FRESH_MARGIN: Micros = 2 * SECOND
 
-        /** From this long after it is due a heartbeat is overdue. */
+        /** Delay after the longest heartbeat interval from which a heartbeat counts as overdue. */
         private const val OVERDUE_MARGIN: Micros = 600 * MILLI
 
-        /** How long a machine that has come under control may take to be confirmed before it counts like any other. */
+        /** How long an acquired machine may remain unconfirmed before it is treated like any other machine. */
         private const val CONFIRMATION_GRACE_PERIOD: Micros = 2 * SECOND
     }
 }
 
-/** What a check for changes of control has found. */
+/** Result of updating the set of controlled machines. */
 internal sealed interface ControlUpdate {
-    /** No claim, borrowing, lease or listed machine has changed. */
+    /** No claim, borrowing, lease or listed machine has changed since the last update. */
     data object Unchanged : ControlUpdate
 
-    /** The set was worked out anew; [acquired] came under this controller's control. */
+    /** The set was recomputed; [acquired] contains the machines added to it. */
     class Changed(
         val acquired: List<MachineId>,
     ) : ControlUpdate
--- a/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentRegistry.kt
@@ -11,8 +11,8 @@
 import mintpick.wire.MachineReport
 
 /**
- * The agents as the rest of the engine sees them: composes the machines' index, the intake of heartbeats, the dispatch of
- * commands and the tracking of reachability. Times are microseconds of the steady clock. Event-loop thread only.
+ * Entry point to the agents for the rest of the engine. Combines the machine index, heartbeat handling, command dispatch and
+ * reachability tracking. Times are microseconds of the monotonic clock. Event-loop thread only.
  */
 class AgentRegistry(
     private val context: EngineContext,
@@ -28,61 +28,64 @@
     private val answers = HeartbeatAnswers(context, stateStore, shardClaims, health, commandPlanner, index, unservedMachines)
     private val heartbeats = HeartbeatHandler(context, shardClaims, index, reachability, dispatcher, unservedMachines, answers)
 
-    /** What is known of [machine]; null: it was never heard or called, or it is terminated. */
+    /** The view of [machine], or null if it was never contacted or is terminated. */
     fun view(machine: MachineId): MachineView? = index.view(machine)
 
-    /** The views of all machines, those of other controllers included. */
+    /** The views of all machines, including those of other controllers. */
     fun views(): Collection<MachineView> = index.views()
 
-    /** Machines under this controller's control. */
+    /** Machines controlled by this controller, as of the last [updateControlledMachines]. */
     val controlledMachines: Set<MachineId> get() = index.controlledMachines
 
-    /** Machines whose status has come since the last call. */
+    /** Returns and clears the set of machines whose status was received since the last call. */
     fun takeUpdatedMachines(): Set<MachineId> = index.takeUpdatedMachines()
 
-    /** Whether the last status is recent enough for the machine to be given work. */
+    /** Whether the last status is recent enough for new work to be placed on the machine. */
     fun isFresh(view: MachineView): Boolean = index.isFresh(view)
 
-    /** Whether the agent has shown the fencing token of this controller's claim, so that its status is newer than the claim. */
+    /** Whether the agent has returned the fencing token of this controller's claim, which proves its status newer than the claim. */
     fun isConfirmed(view: MachineView): Boolean = index.isConfirmed(view)
 
-    /** Whether [machine] came under control a moment ago and is not yet confirmed, or the records are older than its claim. */
+    /**
+     * Whether control of [machine] was acquired very recently, and its agent has not confirmed the claim or the cached records
+     * are older than the claim.
+     */
     fun isAwaitingConfirmation(machine: MachineId): Boolean = index.isAwaitingConfirmation(machine)
 
-    /** Whether the agent's lease has surely expired, so that it has killed its tasks. */
+    /** Whether the agent's lease has certainly expired, so that it has killed its tasks. */
     fun hasLeaseExpired(view: MachineView): Boolean = index.hasLeaseExpired(view)
 
-    /** Since when [machine] has been silent towards this controller although under its control. */
+    /** Start of the time in which [machine] could have contacted this controller but did not. */
     fun noContactSince(machine: MachineId): Micros = index.noContactSince(machine)
 
-    /** Whether a call to [machine] has failed and none has got through since; its heartbeats may still come. */
+    /** Whether the last call to [machine] failed. Its heartbeats may still arrive. */
     fun isUnreachable(machine: MachineId): Boolean = reachability.isUnreachable(machine)
 
-    /** When the first of the calls that failed one after the other failed; null: the last one got through. */
+    /** Time of the first of the consecutive failed calls to [machine]; null if the last call succeeded. */
     fun unreachableSince(machine: MachineId): Micros? = reachability.unreachableSince(machine)
 
-    /** How many calls to [machine] have failed one after the other. */
+    /** Number of consecutive failed calls to [machine]. */
     fun failedCalls(machine: MachineId): Int = reachability.failedCalls(machine)
 
-    /** When a call last got through to a machine in [zone], or a heartbeat from there to us; 0: never. */
+    /** Time of the last successful call to a machine in [zone] or the last heartbeat from one; 0 if there was none. */
     fun lastReachedInZone(zone: String?): Micros = reachability.lastReachedInZone(zone)
 
-    /** Whether this controller is cut off from all agents. */
+    /** Whether a network partition separates this controller from all agents. */
     val isIsolatedFromAgents: Boolean get() = reachability.isIsolatedFromAgents
 
-    /** Takes the heartbeat [report]; [reply] is answered at once, or when a take-over of its machine is decided. */
+    /** Handles the heartbeat [report]. [reply] is answered immediately, or when the takeover of the machine has been decided. */
     fun onHeartbeat(
         report: MachineReport,
         reply: ReplyTo,
     ) = heartbeats.onHeartbeat(report, reply)
 
-    /** Sends [machine] the commands that it lacks without waiting for its next heartbeat. */
+    /** Sends [machine] its outstanding commands without waiting for its next heartbeat. */
     fun pushCommands(machine: MachineId) = dispatcher.pushCommands(machine)
 
-    /** Asks [machine], whose heartbeat is overdue, for its status. */
+    /** Requests the status of [machine], whose heartbeat is overdue. */
     fun probe(machine: MachineId) = dispatcher.probe(machine)
 
-    /** Puts a tombstone for [machine], which is proven gone, and forgets all that is known of it. */
+    /** Replaces all state of [machine], which is proven to be terminated, by a tombstone. */
     fun markTerminated(machine: MachineId) {
         index.markTerminated(machine)
         unservedMachines.forget(machine)
@@ -91,21 +94,27 @@
         shardClaims.forget(machine)
     }
 
-    /** A process pause has just ended: calls that failed during it, and silence, say nothing of the machines. */
+    /**
+     * Must be called when a process pause has ended. Calls that failed and heartbeats that were missed during the pause don't
+     * indicate machine failures.
+     */
     fun onProcessPause() {
         reachability.onProcessPause()
         index.onProcessPause()
     }
 
-    /** To be called in each step before any machine is judged: takes in changes of control. */
+    /** Applies changes of control over machines. Must be called in each step before machine health is evaluated. */
     fun updateControlledMachines() {
-        when (val refresh = index.updateControlledMachines()) {
+        when (val update = index.updateControlledMachines()) {
             ControlUpdate.Unchanged -> Unit
-            is ControlUpdate.Changed -> reachability.onControlChanged(refresh.acquired)
+            is ControlUpdate.Changed -> reachability.onControlChanged(update.acquired)
         }
     }
 
-    /** To be called in each step after all judgements: sends [touched] machines what changed for them, and confirms others. */
+    /**
+     * Sends outstanding commands to the [touched] machines and confirms acquired ones. Must be called in each step after
+     * machine health has been evaluated.
+     */
     fun tick(touched: Collection<MachineId>) {
         reachability.updateIsolation()
         if (health.isHealthy()) dispatcher.tick(touched)
--- a/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
@@ -18,8 +18,8 @@
 import mintpick.workers.WorkerProtocol
 
 /**
- * Calls agents directly: sends commands without waiting for the next heartbeat, asks silent machines for their status, and
- * confirms machines that came under control. One call at a time to each machine. Event-loop thread only.
+ * Calls agents directly: sends commands without waiting for the next heartbeat, requests the status of machines whose
+ * heartbeat is overdue, and confirms acquired machines. At most one call is in flight to each machine. Event-loop thread only.
  */
 internal class CommandDispatcher(
     private val context: EngineContext,
@@ -29,11 +29,11 @@
     private val index: AgentIndex,
     private val reachability: ReachabilityTracker,
 ) {
-    /** The direct calls to one machine. */
+    /** State of the direct calls to one machine. */
     private class DirectCalls {
         var isInFlight = false
 
-        /** A push was asked for while a call was in flight; it follows that call. */
+        /** Whether commands are to be pushed when the call in flight ends. */
         var isPushPending = false
         var confirmAfterUs: Micros = 0
     }
@@ -45,8 +45,9 @@
     private val cache get() = context.cache
 
     /**
-     * Sends [machine] the commands that it lacks without waiting for its next heartbeat; this also shows it our fencing token.
-     * Does nothing if the machine is not under our control, can't be called now, or lacks nothing that is worth a call.
+     * Sends [machine] its outstanding commands and this controller's fencing token without waiting for its next heartbeat. Does
+     * nothing if this controller does not control the machine, if the machine can't be called now, or if the commands can wait
+     * for the next heartbeat. If a call to the machine is in flight, the commands follow it.
      */
     fun pushCommands(machine: MachineId) {
         val calls = callsByMachine[machine]
@@ -64,7 +65,7 @@
         send(view, address, CommandBatch(claim.version, view.session, commands))
     }
 
-    /** What is only to be forgotten can wait, if the machine has shown the current fencing token. */
+    /** Whether [commands] only forget attempts and the agent has already returned the current fencing token. */
     private fun mayWaitForHeartbeat(
         view: MachineView,
         claim: Claim,
@@ -87,7 +88,7 @@
         startCall(view.id, call) { result -> onBatchResult(view, batch, starts, result) }
     }
 
-    /** Returns whether the agent showed its status. */
+    /** Applies the result of a command batch; returns whether the agent returned its status. */
     private fun onBatchResult(
         view: MachineView,
         batch: CommandBatch,
@@ -126,15 +127,15 @@
         return calls.isPushPending.also { calls.isPushPending = false }
     }
 
-    /** Asks [machine], whose heartbeat is overdue, for its status; does nothing if it is unknown or can't be called now. */
+    /** Requests the status of [machine], whose heartbeat is overdue. Does nothing if it is unknown or can't be called now. */
     fun probe(machine: MachineId) {
         val view = index.view(machine) ?: return
         if (!isInFlight(machine) && mayCall(machine)) inspect(view) { }
     }
 
     /**
-     * Asks a machine for its status, also if calls to it have failed lately. [then] is told whether it answered: at once with
-     * false if its address is unknown or another call to it is in flight.
+     * Requests the status of a machine, even if recent calls to it have failed. [then] receives whether the agent answered. It
+     * is called immediately with false if the address is unknown or another call to the machine is in flight.
      */
     fun inspect(
         view: MachineView,
@@ -146,7 +147,7 @@
             val report = (result as? WorkerProtocol.Result.Executed)?.report
             if (report != null) applyStatus(view, report)
             then(report != null)
-            // What a machine lacks goes with the answer to its next heartbeat; where none comes, it is sent now.
+            // Outstanding commands normally go with the answer to the next heartbeat. Without heartbeats they are pushed now.
             val isHeartbeatMissing = report != null && index.isHeartbeatOverdue(view)
             if (takePendingPush(view.id) || isHeartbeatMissing) pushCommands(view.id)
             report != null
@@ -157,19 +158,19 @@
 
     private fun isInFlight(machine: MachineId): Boolean = callsByMachine[machine]?.isInFlight == true
 
-    /** Calls to machines that do not answer are few at a time and further and further apart. */
+    /** Limits concurrent calls to suspect machines and applies the backoff after failed calls. */
     private fun mayCall(machine: MachineId): Boolean {
         if (reachability.isSuspect(machine) && suspectCallsInFlight >= maxSuspectCalls(machine)) return false
         return reachability.mayRetry(machine)
     }
 
-    /** Beyond a partition a few calls are enough to see when it ends; the rest would only take time and sockets. */
+    /** Across a network partition a few calls suffice to detect its end; more would waste time and sockets. */
     private fun maxSuspectCalls(machine: MachineId): Int {
         val isZoneReachable = health.zoneReachableSince(cache.machines[machine]?.record?.zone) != null
         return if (isZoneReachable) MAX_SUSPECT_CALLS else MAX_CALLS_ACROSS_PARTITION
     }
 
-    /** Starts a call; [onResult] says whether the agent answered, which is noted only after it has run. */
+    /** Starts a call. [onResult] returns whether the agent answered; reachability is updated only after it has run. */
     private fun startCall(
         machine: MachineId,
         call: Call,
@@ -187,15 +188,15 @@
         }
     }
 
-    /** Forgets [machine], which is terminated; a call to it that is in flight still counts as such until it ends. */
+    /** Removes the state of the terminated [machine], unless a call is in flight, which stays recorded until it ends. */
     fun forget(machine: MachineId) {
         val calls = callsByMachine[machine] ?: return
         if (calls.isInFlight) calls.confirmAfterUs = 0 else callsByMachine.remove(machine)
     }
 
     /**
-     * To be called in each step: sends [touched] machines what changed for them; from time to time confirms machines that came
-     * under control, raises the fencing token where a start was lost, and probes unreachable machines.
+     * Sends outstanding commands to the [touched] machines. Every [TICK_INTERVAL] also confirms acquired machines, raises the
+     * fencing token where the outcome of a start is unknown, and probes unreachable machines. Must be called in each step.
      */
     fun tick(touched: Collection<MachineId>) {
         touched.forEach { if (it in index.controlledMachines) pushCommands(it) }
@@ -206,7 +207,10 @@
         confirmControlled()
     }
 
-    /** Hundreds of calls at once would keep users waiting: most machines confirm themselves with their next heartbeats. */
+    /**
+     * Confirms acquired machines, at most [MAX_CONFIRMATIONS] of them per call, since hundreds of simultaneous calls would
+     * delay user requests. Most machines confirm the claim with their next heartbeats.
+     */
     private fun confirmControlled() {
         var confirmations = 0
         for (machine in index.controlledMachines) {
@@ -232,8 +236,8 @@
     ): Boolean = lacksCurrentToken(view, claim) && context.now >= (callsByMachine[machine]?.confirmAfterUs ?: 0)
 
     /**
-     * Probes a machine that another controller controls, drawn at random. With no machine left under our control nothing else
-     * would show that the way to the agents is open again, and this controller would take no part for ever.
+     * Probes a random machine of another controller. A controller that has lost control of all machines would otherwise never
+     * detect that agents are reachable again, and would never control machines again.
      */
     private fun probeUncontrolled() {
         val uncontrolled = cache.machines.keys.filter { it !in index.controlledMachines }
@@ -250,7 +254,10 @@
         private const val MAX_SUSPECT_CALLS = 32
         private const val MAX_CALLS_ACROSS_PARTITION = 4
 
-        /** A token is raised only for a machine heard within this span: the lost start ends when the machine shows the higher token. */
+        /**
+         * The fencing token is raised only for machines contacted within this time: only an agent that returns the higher token
+         * proves that an earlier start can't be executed any more.
+         */
         private const val RECENT_CONTACT: Micros = 5 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
@@ -17,7 +17,7 @@
 import mintpick.wire.TaskState
 import mintpick.wire.Verb
 
-/** Plans the commands that bring a machine in line with the records. Event-loop thread only. */
+/** Plans the commands that make the tasks on a machine match the records. Event-loop thread only. */
 class CommandPlanner(
     private val context: EngineContext,
     private val health: ControllerHealth,
@@ -26,37 +26,41 @@
 
     private val cache get() = context.cache
 
-    /** Attempts that are stopped although their jobs are open. */
+    /** Attempts that are being stopped although their jobs are open. */
     val stopping: Set<AttemptId> get() = stopReasons.keys
 
-    /** Whether [attempt] is stopped although its job is open. */
+    /** Whether [attempt] is being stopped although its job is open. */
     fun isStopping(attempt: AttemptId): Boolean = attempt in stopReasons
 
-    /** Stops [attempts] with the next commands to their machines, to make room for another job. */
+    /** Stops [attempts] with the next commands to their machines, to free resources for another job. */
     fun preempt(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons[it] = StopReason.PREEMPTED }
 
     /**
-     * A transaction that requeues [attempts] is under way. Until its outcome is known they are not started again, as by a
-     * machine that has come back: committed late, it would have their successors run beside them.
+     * Must be called when a transaction that requeues [attempts] is sent. The attempts are not started again until its outcome
+     * is known, for example when their machine is reachable again: if the transaction is then committed, both the attempts and
+     * their replacements would run.
      */
     fun onRequeueSent(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.putIfAbsent(it, StopReason.REQUEUE_SENT) }
 
-    /** That transaction is not and will not be committed. */
+    /** Must be called when a transaction that requeues [attempts] has failed: it is not committed and never will be. */
     fun onRequeueFailed(attempts: Collection<AttemptId>) = attempts.forEach { stopReasons.remove(it, StopReason.REQUEUE_SENT) }
 
-    /** That transaction may be committed at any later time: only another requeue settles [attempts]. */
+    /**
+     * Must be called when the outcome of a transaction that requeues [attempts] is unknown. It may be committed at any later
+     * time, so the attempts stay stopped until another requeue is committed.
+     */
     fun onRequeueOutcomeUnknown(attempts: Collection<AttemptId>) =
         attempts.forEach { stopReasons.replace(it, StopReason.REQUEUE_SENT, StopReason.REQUEUE_OUTCOME_UNKNOWN) }
 
-    /** Forgets attempts that the records no longer show. */
+    /** Removes stop reasons of attempts that are no longer placed in the records. */
     fun forgetObsoleteStops() {
         if (stopReasons.isEmpty()) return
         stopReasons.keys.removeIf { attempt -> cache.job(attempt.task.job)?.placement(attempt.task.index)?.attempt != attempt.attempt }
     }
 
     /**
-     * All commands that [view]'s machine needs: what to forget, to stop and to start, in this order. Only tasks of cancelled
-     * jobs are stopped until the records are at least as new as [claim], which gives this controller the machine.
+     * All outstanding commands for the machine of [view]: forgets, stops and starts, in this order. While the cached records
+     * are older than [claim], which gives this controller control of the machine, only tasks of cancelled jobs are stopped.
      */
     fun commandsFor(
         view: MachineView,
@@ -67,9 +71,9 @@
     }
 
     /**
-     * What the answer to a report carries: each renewal of a lease comes with the stops of all cancelled tasks that the
-     * machine has shown. Starts that were not sent at once wait while a cancellation could have been confirmed to its user
-     * that this controller does not know of.
+     * The commands in the answer to a heartbeat. Every answer that renews the lease contains the stops of all cancelled tasks
+     * that the agent has listed. Starts are left out while a cancellation that this controller does not know of could already
+     * have been confirmed to its user.
      */
     fun commandsForAnswer(
         view: MachineView,
@@ -79,21 +83,21 @@
         return if (health.mayStartTasks()) commands else commands.filter { it.verb != Verb.START }
     }
 
-    /** What may be stopped whoever commands the machine: tasks of cancelled jobs. */
+    /** Stops of tasks of cancelled jobs, which any controller may send, whether or not it controls the machine. */
     fun stopsOfCancelledTasks(view: MachineView): List<Command> =
         view.reported
             .filter { (attempt, task) -> task.state != TaskState.EXITED && isCancelled(attempt.task.job) }
             .map { (attempt, _) -> command(Verb.STOP, attempt, NO_GRACE_S) }
 
-    /** Whether what has not started yet should not start on [view]'s machine any more. */
+    /** Whether no more tasks may be started on the machine of [view]. */
     fun isDraining(
         view: MachineView,
         claim: Claim?,
     ): Boolean = hasTerminationNotice(view, claim) || isRetiring(view)
 
     /**
-     * Whether the machine has a notice of its termination. It counts once this controller's own fencing token was shown with
-     * it: a late copy of a report may bring back an old notice.
+     * Whether the machine has a termination notice. A notice is valid only if the agent has also returned this controller's
+     * fencing token, since a delayed copy of a heartbeat may contain an outdated notice.
      */
     fun hasTerminationNotice(
         view: MachineView,
@@ -131,7 +135,7 @@
             .filter { (_, task) -> task.state != TaskState.EXITED }
             .mapNotNull { (attempt, task) -> stopFor(view, claim, attempt, task) }
 
-    /** The command that stops [attempt]; null if it is to go on or saves its progress already. */
+    /** The command that stops [attempt], or null if the attempt is to continue or is already saving its progress. */
     private fun stopFor(
         view: MachineView,
         claim: Claim,
@@ -147,13 +151,19 @@
         return command(Verb.STOP, attempt, if (canSave) graceS.toInt() else NO_GRACE_S)
     }
 
-    /** How long a task may go on to save its progress: half of the time that a machine with a notice has left. */
+    /**
+     * How long a stopped task may continue in order to save its progress: half of the remaining time on a machine with a
+     * termination notice, else [MAX_GRACE_S].
+     */
     private fun graceSeconds(view: MachineView): Long {
         val noticeEndsUs = view.noticeEndsUs ?: return MAX_GRACE_S
         return (noticeEndsUs - context.now) / SECOND / 2
     }
 
-    /** Services leave a machine that is to go at once; work that ends soon may finish on one that is only being drained. */
+    /**
+     * Whether tasks of [job] must be stopped on the machine of [view]: all of them after a termination notice, and services and
+     * long tasks while the machine is retiring. Short tasks may finish there.
+     */
     private fun mustLeaveMachine(
         view: MachineView,
         claim: Claim,
@@ -193,10 +203,10 @@
         private const val NO_GRACE_S = 0
         private const val MAX_GRACE_S = 30L
 
-        /** Work with a longer estimate does not finish on a machine that is being drained. */
+        /** Longest estimate with which a task may finish on a machine that is being drained, in seconds. */
         private const val MAX_DRAIN_ESTIMATE_S = 60.0
 
-        /** The attempts that [commands] start. */
+        /** The attempts that are started by [commands]. */
         fun startedAttempts(commands: List<Command>): Set<AttemptId> =
             commands
                 .filter { it.verb == Verb.START }
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
@@ -14,21 +14,21 @@
 import mintpick.wire.ReportAnswer
 import mintpick.wire.WireJson
 
-/** What the answer to a heartbeat may do. */
+/** What the answer to a heartbeat may contain, and whether it counts as a renewal of the agent's lease. */
 internal enum class AnswerScope {
-    /** It goes to a late copy, so nobody reads it: it must not count as a renewal of the agent's lease. */
+    /** The heartbeat is a delayed copy, so no agent reads the answer: it must not count as a renewal of the agent's lease. */
     UNREAD,
 
-    /** It renews the lease, and carries stops of cancelled tasks alone. */
+    /** Renews the lease and contains only stops of cancelled tasks. */
     STOPS_ONLY,
 
-    /** It renews the lease and carries all commands that the machine lacks. */
+    /** Renews the lease and contains all outstanding commands. */
     ALL_COMMANDS,
 }
 
 /**
- * The answers to heartbeats: commands to machines under this controller's control, redirects for those of others, and in a
- * partition answers on behalf of a controller that is cut off. Event-loop thread only.
+ * Builds the answers to heartbeats: commands for machines that this controller controls and redirects for other machines. In a
+ * network partition also answers on behalf of controllers that the agents can't reach. Event-loop thread only.
  */
 internal class HeartbeatAnswers(
     private val context: EngineContext,
@@ -39,7 +39,10 @@
     private val index: AgentIndex,
     private val unservedMachines: UnservedMachines,
 ) {
-    /** The answer to [report]: 200 with commands, 421 with the controller to turn to if it is known, or 503 while loading. */
+    /**
+     * The answer to the heartbeat [report]: 200 with commands, 421 with the machine's controller if it is known, or 503 while
+     * the records are being loaded or no claim gives control of the machine.
+     */
     fun answer(
         view: MachineView,
         report: MachineReport,
@@ -49,7 +52,7 @@
         if (!stateStore.hasLoaded || claim == null) return errorAnswer(UNAVAILABLE, "not ready")
         if (claim.node != context.self) return answerUncontrolled(view, report, claim, scope)
         if (claim.version < report.token) {
-            // Either a borrowing has ended, or another controller has taken over and we do not know it yet.
+            // Either a borrowing has ended, or another controller has taken over and the cached records don't show it yet.
             shardClaims.raiseToken(view.id, "seen-higher")
             return misdirected()
         }
@@ -64,7 +67,8 @@
         scope: AnswerScope,
     ): Answer {
         val carriesAll = scope == AnswerScope.ALL_COMMANDS
-        // Our earlier process may have left starts under way that only the next token ends: until then stops alone are sent.
+        // Starts sent by an earlier process of this controller may still arrive until the token is raised. Until then only
+        // stops are sent.
         val commands =
             if (carriesAll && shardClaims.isOwn(claim)) {
                 commandPlanner.commandsForAnswer(view, claim)
@@ -92,8 +96,8 @@
     ): Boolean = report.zone == context.settings.zone && claim.version >= report.token && health.mayAnswerAgentsOf(claim.node)
 
     /**
-     * In a partition that cuts off our zone we keep the leases of other controllers' machines here alive, with their fencing
-     * tokens, and start nothing. Only tasks that were cancelled before the partition are stopped.
+     * Renews the lease of another controller's machine in this zone while a network partition isolates the zone. The answer has
+     * that controller's fencing token, starts nothing, and stops only tasks that were cancelled before the partition.
      */
     private fun answerOnBehalf(
         view: MachineView,
@@ -112,8 +116,9 @@
     }
 
     /**
-     * Agents keep up to two fifths of the sockets. With more of them than that, some connect anew with each heartbeat, drawn
-     * at random, so that users, health checks, other controllers and our own calls always find a socket.
+     * Whether the agent's connection is closed after this answer. Agents may keep up to two fifths of the sockets. If there are
+     * more agents, randomly chosen ones have to reconnect. The rest of the sockets stays available to users, health checks,
+     * peers and this controller's own calls.
      */
     private fun closesConnection(): Boolean {
         val kept = context.settings.resources.maxConnections * 2 / 5
@@ -123,7 +128,7 @@
 
     private fun redirect(claim: Claim): Answer = misdirected(if (shardClaims.isLive(claim.node)) claim.node.text else null)
 
-    /** The answer of a controller that does not serve the machine; [controller] is the one to turn to, null if it is unknown. */
+    /** The answer of a controller that does not serve the machine; [controller] is the one that does, or null if it is unknown. */
     fun misdirected(controller: String? = null): Answer =
         Answer.json(MISDIRECTED, WireJson.encodeToString(Misdirected.serializer(), Misdirected(controller)))
 
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
@@ -7,7 +7,7 @@
 import mintpick.engine.runtime.ReplyTo
 import mintpick.wire.MachineReport
 
-/** Takes agents' heartbeats, answers them, and takes over machines that their controllers do not serve. Event-loop thread only. */
+/** Handles and answers heartbeats, and takes over machines that are not served by their controllers. Event-loop thread only. */
 internal class HeartbeatHandler(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
@@ -17,7 +17,7 @@
     private val unservedMachines: UnservedMachines,
     private val answers: HeartbeatAnswers,
 ) {
-    /** Takes the heartbeat [report]; [reply] is answered at once, or when a take-over of its machine is decided. */
+    /** Handles the heartbeat [report]. [reply] is answered immediately, or when the takeover of the machine has been decided. */
     fun onHeartbeat(
         report: MachineReport,
         reply: ReplyTo,
@@ -48,9 +48,10 @@
         }
 
     /**
-     * Holds the heartbeat for a call to its agent and the one write that gives us control: redirected, the agent would spend
-     * the rest of its lease on controllers that it can't reach. The call tells a live machine whose commands get through from
-     * a late copy of a heartbeat, and from a machine that only its heartbeats leave.
+     * Takes over a machine that its controller does not serve. The heartbeat is answered only after a call to the agent and the
+     * write that transfers control: an agent that is redirected instead would spend the rest of its lease on controllers that
+     * it can't reach. The call shows that commands reach the machine, so the heartbeat is not a delayed copy and connectivity
+     * is not limited to the direction of heartbeats.
      */
     private fun takeOver(
         view: MachineView,
@@ -70,7 +71,7 @@
                     context.send(reply, answers.answer(view, report, scopeOf(isAwaited = true, isNewest)))
                 }
             } else {
-                // The agent itself waits, though we can't command it: nothing is started on it.
+                // The agent waits for the answer, but commands don't reach it, so nothing is started on it.
                 context.send(reply, answers.answer(view, report, AnswerScope.STOPS_ONLY))
             }
         }
--- a/src/main/kotlin/mintpick/engine/agents/MachineListChanges.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListChanges.kt
@@ -6,30 +6,30 @@
 import mintpick.wire.Retiring
 
 /**
- * A machine that is to be scaled in. Compared by identity: one that has replaced an equal one is a request of its own, which
- * the write of the first does not settle.
+ * A request to scale in a machine. Compared by identity, because a request that replaces an equal one is not fulfilled by the
+ * write of the earlier one.
  */
 class ScaleInRequest(
     val machine: MachineId,
     val mode: Retiring,
     val reason: String,
 ) {
-    /** Whether the machine is lost or faulty, so that its tasks wait for its release. */
+    /** Whether the machine is to be released without draining it, because it is lost and its tasks can't be requeued before that. */
     val isImmediate: Boolean get() = mode == Retiring.NOW
 }
 
-/** What is to be written into the machine list of one [partition] of the names. */
+/** Changes to the machine list of one [partition] of the machine names. */
 class MachineListChanges(
     val partition: Int,
-    /** Machines that have reported and are not listed yet. */
+    /** Machines that have sent their status and are not listed yet. */
     val added: Map<MachineId, MachineRecord>,
     val scaledIn: List<ScaleInRequest>,
-    /** Listed machines that are proven to be terminated. */
+    /** Listed machines that are proven to be terminated, to be removed from the list. */
     val terminated: List<KnownMachine>,
 ) {
-    /** Whether a machine has to be released at once. */
+    /** Whether a machine has to be released immediately. */
     val isUrgent: Boolean get() = scaledIn.any { it.isImmediate }
 
-    /** Whether machines are only removed, which nothing waits for. */
+    /** Whether machines are only removed from the list, which is never urgent. */
     val onlyRemoves: Boolean get() = added.isEmpty() && scaledIn.isEmpty()
 }
--- a/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
@@ -9,11 +9,11 @@
 import mintpick.wire.Guard
 import org.slf4j.LoggerFactory
 
-/** A transaction that writes as much of some [MachineListChanges] as it has room for. */
+/** A transaction that writes [MachineListChanges], or as many of them as the transaction limits allow. */
 class MachineListTransaction(
     val guards: List<Guard>,
     val writes: List<Write>,
-    /** The requests that are settled once it is committed. */
+    /** The scale-in requests that the transaction fulfils when it is committed. */
     val appliedRequests: List<ScaleInRequest>,
 )
 
@@ -25,7 +25,7 @@
     private val cache get() = context.cache
     private val maxOperations get() = context.settings.limits.transactionOps
 
-    /** The transaction for [changes]; null if nothing of them can be written now. */
+    /** The transaction for [changes], or null if none of them can be written now. */
     fun build(changes: MachineListChanges): MachineListTransaction? {
         val layout = MachineListLayout(cache.machineListsOf(changes.partition), formats.maxValueBytes, formats.current)
         val applied = applyTo(layout, changes)
@@ -38,24 +38,24 @@
         val borrowWrites = borrowingRemovals(removed, maxOf(0, maxOperations - pieces.size))
         val legacyRoom = maxOf(0, maxOperations - pieces.size) - borrowWrites.size
         val moved = (changes.added.keys + changes.scaledIn.map { it.machine }).filter { it in written }
-        // Borrowings first: of a machine that is removed after them no end of a borrowing has to be kept.
+        // Borrowings go first: the cache then drops the end of a borrowing when it applies the removal of its machine.
         val writes = borrowWrites + listWrites + legacyRecordRemovals(moved + removed, legacyRoom)
         return MachineListTransaction(guardsOf(changes.partition, layout), writes, applied.filter { it.machine in written })
     }
 
-    /** Makes [changes] in [layout]; returns the requests that found room there. */
+    /** Applies [changes] to [layout]; returns the scale-in requests that fitted in. */
     private fun applyTo(
         layout: MachineListLayout,
         changes: MachineListChanges,
     ): List<ScaleInRequest> {
-        // What an earlier version stored in records of their own moves into the list with the request.
+        // Machines that an earlier version stored as separate records move into the list when they are marked for scale-in.
         val legacy = changes.scaledIn.mapNotNull { cache.machines[it.machine] }.filter { it.legacy }
         val records = legacy.associate { it.id to it.record } + changes.added
         records.forEach { (id, record) -> layout.add(id, record) }
         changes.terminated.forEach { layout.remove(it.id) }
         val applied = changes.scaledIn.filter { layout.markRetiring(it.machine, it.mode) }
         val waiting = changes.scaledIn.size - applied.size
-        if (waiting > 0) LOG.warn("machine list full part={} marks={} waiting", changes.partition, waiting)
+        if (waiting > 0) LOG.warn("machine list full, scale-in marks postponed part={} marks={}", changes.partition, waiting)
         return applied
     }
 
@@ -77,7 +77,7 @@
             .take(minOf(MAX_OBSOLETE_RECORDS, room))
             .map { Write(Keys.machine(it.text), null) }
 
-    /** All pieces of a partition, also those that do not exist yet: a machine must never be listed in two of them. */
+    /** Guards all pieces of a partition, including those that do not exist yet, since a machine must never be listed in two of them. */
     private fun guardsOf(
         partition: Int,
         layout: MachineListLayout,
@@ -89,10 +89,10 @@
     private companion object {
         val LOG = LoggerFactory.getLogger(MachineListTransactionBuilder::class.java)
 
-        /** Bytes of the pieces that one transaction may carry; the rest is written with the next. */
+        /** Maximum size of the list pieces in one transaction; the rest is written with the next one. */
         const val MAX_BYTES = 40_000
 
-        /** Most borrowings, and most records of earlier versions, that one transaction removes. */
+        /** Maximum number of borrowings, and of records of earlier versions, that one transaction removes. */
         const val MAX_OBSOLETE_RECORDS = 3
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The durable list of machines by partition: adds machines that have reported, marks the ones to be scaled in, and removes
- * those proven to be terminated. What comes within a moment goes in one write, since a cluster that boots or is scaled in
- * in a wave would otherwise use up the writes that jobs need. Event-loop thread only.
+ * Maintains the machine list in the state store, by partition: adds machines that have sent their status, marks machines for
+ * scale-in, and removes terminated ones. Changes within a short time are written together. Otherwise a cluster in which many
+ * machines boot or are scaled in at once would use up the writes that jobs need. Event-loop thread only.
  */
 class MachineRegistry(
     private val context: EngineContext,
@@ -28,12 +28,12 @@
     private val reconciler: Reconciler,
     formats: RecordFormatNegotiator,
 ) {
-    /** Writes of one partition of the list. */
+    /** Write state of one partition of the list. */
     private class PartitionWrites {
-        /** Whether a transaction is under way. */
+        /** Whether a transaction is in flight. */
         var isInFlight = false
 
-        /** When the next one may be sent; 0 if at once. */
+        /** Time from which the next transaction may be sent; 0 if immediately. */
         var nextWriteUs: Micros = 0
     }
 
@@ -42,13 +42,13 @@
     private val partitions = HashMap<Int, PartitionWrites>()
     private var nextTickUs: Micros = 0
 
-    /** The machine list may use this much of the limits; the rest is for jobs. */
+    /** The machine list's share of the state store's write limit; the rest is reserved for jobs. */
     private val writesPerSecond = context.settings.limits.writeRps / (context.settings.peers.size + 1) * WRITE_SHARE
     private val writeBudget = TokenBucket(writesPerSecond, maxOf(2.0, writesPerSecond * 2))
 
     private val cache get() = context.cache
 
-    /** Marks the listed [machine] as one to be drained, or to be released at once; [reason] goes into the log. */
+    /** Requests that the listed [machine] is drained or immediately released, depending on [mode]; [reason] is logged. */
     fun markForScaleIn(
         machine: MachineId,
         mode: Retiring,
@@ -58,19 +58,19 @@
         if (current == mode || current == Retiring.NOW || requests[machine]?.isImmediate == true) return
         val request = ScaleInRequest(machine, mode, reason)
         requests[machine] = request
-        // What is lost is not to wait for others.
+        // The release of a lost machine must not wait for other changes.
         if (request.isImmediate) writesOf(partitionOf(machine)).nextWriteUs = 0
         nextTickUs = minOf(nextTickUs, context.now + BATCH_DELAY)
     }
 
-    /** Whether [machine] waits to be marked as one to be scaled in. */
+    /** Whether a scale-in request for [machine] has not been written yet. */
     fun hasPendingScaleIn(machine: MachineId): Boolean = machine in requests
 
-    /** Sends the writes that are due. */
+    /** Sends the writes that are due; must be called in each step. */
     fun tick() {
         if (!stateStore.isServing || !stateStore.isReachable || context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
-        // The longest waiting first: otherwise the same few would take all writes while a cluster boots.
+        // The partition that has waited longest comes first: otherwise a few partitions would use all writes while a cluster boots.
         val changes = collectChanges().sortedBy { writesOf(it.partition).nextWriteUs }
         for (change in changes) {
             if (isDue(change) && acquireWrite(change)) write(change)
@@ -79,7 +79,10 @@
 
     private fun writesOf(partition: Int): PartitionWrites = partitions.getOrPut(partition) { PartitionWrites() }
 
-    /** Only its controller judges a machine to be lost: another's silence says nothing. */
+    /**
+     * Drops requests for machines that are no longer listed or are terminated, and immediate releases of machines that this
+     * controller no longer controls: only a machine's own controller can tell whether it is lost.
+     */
     private fun dropObsoleteRequests() {
         requests.values.removeIf { request ->
             request.machine !in cache.machines ||
@@ -96,7 +99,7 @@
                 .groupBy { partitionOf(it.id) }
         dropObsoleteRequests()
         val scaledIn = requests.values.groupBy { partitionOf(it.machine) }
-        // In the order of a HashSet, which decides among partitions that may be written since the same time.
+        // A HashSet, because its iteration order decides the order of partitions with equal write times.
         val addedPartitions = added.keys.toCollection(HashSet())
         return (addedPartitions + scaledIn.keys + terminated.keys).map { partition ->
             MachineListChanges(
@@ -110,7 +113,7 @@
 
     private fun partitionOf(machine: MachineId): Int = shardClaims.partition(machine.text)
 
-    /** Whether the machine is alive and not in the list, or only in a record of an earlier version. */
+    /** Whether the machine is alive and is not in the list; a separate record of an earlier version does not count as listed. */
     private fun shouldBeAdded(view: MachineView): Boolean {
         val known = cache.machines[view.id]
         val isListed = known != null && !known.legacy
@@ -123,16 +126,17 @@
 
     private fun recordOf(view: MachineView): MachineRecord {
         cache.machines[view.id]?.let { return it.record }
-        val report = checkNotNull(view.latest) { "only machines that have reported are added" }
+        val report = checkNotNull(view.latest) { "machine ${view.id.text} has not sent its status" }
         return MachineRecord(report.type, report.zone, report.spot, report.address)
     }
 
     private fun isDue(change: MachineListChanges): Boolean {
         val writes = writesOf(change.partition)
-        // The list's share of the writes is enough: what places tasks would leave none, and an unlisted machine takes no task.
+        // The list has its own share of the writes, because job writes would use up a common budget, and no task can be placed on
+        // a machine that is not listed.
         val mayWrite = !writes.isInFlight && (change.isUrgent || context.now >= writes.nextWriteUs) && stateStore.mayWrite
         if (!mayWrite) return false
-        // Terminated machines harm nobody by being listed: they alone are reason enough only now and then.
+        // Listed terminated machines do no harm, so removals alone are written less often.
         return !change.onlyRemoves || context.now >= writes.nextWriteUs + REMOVAL_DELAY
     }
 
@@ -171,17 +175,17 @@
         val LOG = LoggerFactory.getLogger(MachineRegistry::class.java)
         const val TICK_INTERVAL: Micros = 400 * MILLI
 
-        /** How long a request waits for others that come with it. */
+        /** How long a scale-in request waits for others to be written with it. */
         const val BATCH_DELAY: Micros = 20 * MILLI
 
-        /** Between two writes of a partition. */
+        /** Minimum time between two writes of a partition. */
         const val WRITE_INTERVAL: Micros = 800 * MILLI
 
-        /** Part of this controller's writes that the machine list may use. */
+        /** Fraction of this controller's writes that the machine list may use. */
         const val WRITE_SHARE = 0.2
         const val RETRY_DELAY: Micros = 200 * MILLI
 
-        /** How long terminated machines wait for other changes to be written with. */
+        /** How long the removal of terminated machines waits for other changes to be written with it. */
         const val REMOVAL_DELAY: Micros = 3 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
+++ b/src/main/kotlin/mintpick/engine/agents/OutcomeDetector.kt
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Finds what a machine's reports or the expiry of its lease prove of the tasks that the records show on it, and tells
- * [failureHandler] of each outcome once. Event-loop thread only.
+ * Determines which outcomes of a machine's placed tasks are proven by its agent's status or lease expiry. Passes each
+ * outcome to [failureHandler] once. Event-loop thread only.
  */
 class OutcomeDetector(
     private val context: EngineContext,
@@ -28,8 +28,8 @@
     private val cache get() = context.cache
 
     /**
-     * What is proven of the tasks on [machine]; null if nothing can be. [before] is what was found last: the outcomes in it
-     * have been counted.
+     * The proven outcomes of the tasks on [machine], or null if nothing can be proven. [before] contains the outcomes found last
+     * time, which have already been passed to [failureHandler].
      */
     fun detect(
         machine: MachineId,
@@ -47,7 +47,7 @@
         return examination.found.build()
     }
 
-    /** Everything that the records show on the terminated [machine]. */
+    /** Outcomes for the terminated [machine]: all attempts placed on it have ended. */
     fun allEndedOn(machine: MachineId): TaskOutcomes = TaskOutcomes.allEnded(attemptsOn(machine), isTerminated = true)
 
     private fun attemptsOn(machine: MachineId): List<AttemptId> = cache.tasksOn(machine).map { (task, attempt) -> AttemptId(task, attempt) }
@@ -57,11 +57,11 @@
         before: TaskOutcomes?,
     ): TaskOutcomes {
         val isKnown = before != null && before.hasEndedExactly(cache.tasksOn(machine).keys)
-        if (!isKnown) LOG.debug("lease lapsed machine={}", machine.text)
+        if (!isKnown) LOG.debug("lease expired machine={}", machine.text)
         return TaskOutcomes.allEnded(attemptsOn(machine), isTerminated = false)
     }
 
-    /** Goes through the attempts on one machine; [token] is the fencing token that its reports have to show. */
+    /** Examines the attempts on one machine; [token] is the fencing token that its agent has to return for a proof. */
     private inner class Examination(
         private val view: MachineView,
         private val claim: Claim,
@@ -100,7 +100,10 @@
             if (!isCounted) failureHandler.onEnded(view.id, attempt, job, cause)
         }
 
-        /** Absent and still to run here: its start is sent again, which is quicker than another placement. */
+        /**
+         * Whether [attempt] is unknown to its agent but is still to run on the machine. Its start is then sent again, which is
+         * faster than placing the task elsewhere.
+         */
         private fun willBeRestarted(
             attempt: AttemptId,
             job: Job,
@@ -115,7 +118,7 @@
     private companion object {
         val LOG = LoggerFactory.getLogger(OutcomeDetector::class.java)
 
-        /** No worker shows it: without control of the machine only completions are proven. */
+        /** Never returned by an agent: without control of the machine only completions can be proven. */
         const val NO_TOKEN = -1L
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
+++ b/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
@@ -14,24 +14,24 @@
 import mintpick.wire.StoredStage
 
 /**
- * Keeps proven outcomes by machine until they are written, and says of which jobs something is due to be written: a write
- * for each finished task would be more than the state service takes. Event-loop thread only.
+ * Keeps proven outcomes by machine until they are written, and determines which jobs are due to be written. Outcomes are written
+ * together because the state store can't sustain one write per finished task. Event-loop thread only.
  */
 class PendingJobWrites(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val failures: FailureTracker,
 ) {
-    /** A job with proven outcomes; [sinceUs] is when the first of them was found. */
+    /** The proven outcomes of a job that are to be written; the first of them was found at [sinceUs]. */
     private class PendingWrite(
         val sinceUs: Micros,
     ) {
-        /** Machines with outcomes of the job; none once all are written. */
+        /** Machines with outcomes of the job; empty when all outcomes have been written. */
         var machines = HashSet<MachineId>()
         var urgency: Urgency? = null
     }
 
-    /** What was found when the job, what is proven of it or control of machines last changed. */
+    /** Cached result of [isUrgent], valid until the job, its proven outcomes or control of machines change. */
     private class Urgency(
         val job: Job,
         val claimEpoch: Long,
@@ -43,10 +43,10 @@
 
     private val cache get() = context.cache
 
-    /** Room on [machine] that the records still show as taken. */
+    /** Resources on [machine] that are proven to be free although the records still show them as used. */
     fun freedOn(machine: MachineId): Resources = outcomesOn[machine]?.freed ?: Resources.ZERO
 
-    /** Replaces what is proven on a machine by [found]. */
+    /** Adds the outcomes [found] on [machine]; earlier ones must have been removed with [remove]. */
     fun add(
         machine: MachineId,
         found: TaskOutcomes,
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Drops and returns what was proven on [machine]; null if nothing was. */
+    /** Removes and returns the outcomes on [machine], or null if there are none. */
     fun remove(machine: MachineId): TaskOutcomes? {
         val outcomes = outcomesOn.remove(machine) ?: return null
         outcomes.jobs.forEach { removeMachine(it, machine) }
@@ -73,11 +73,11 @@
         val write = pending[job] ?: return
         write.urgency = null
         write.machines -= machine
-        // A table that has grown for many machines is not kept for a few, whose order it would change.
+        // A set that has grown for many machines is replaced, because its capacity would affect the iteration order of a few.
         if (write.machines.isEmpty()) write.machines = HashSet()
     }
 
-    /** Changes [draft] by all that is proven of its job. */
+    /** Applies all proven outcomes of the job to [draft]. */
     fun apply(draft: JobUpdate) {
         val machines = pending[draft.before.id]?.machines.orEmpty()
         for (machine in machines) {
@@ -99,8 +99,9 @@
     }
 
     /**
-     * Unless the machine is terminated, its next controller might have answered its worker, or have started an attempt again
-     * that it found absent: the requeue is guarded by control of the machine, or left out if there is no room for the guard.
+     * Requeues the attempts that have ended on [machine]. Unless the machine is terminated, its next controller could have
+     * renewed the agent's lease or started a missing attempt again. Each requeue is therefore guarded by control of the
+     * machine, and left out if the transaction has no room for the guard.
      */
     private fun requeueEnded(
         draft: JobUpdate,
@@ -114,8 +115,8 @@
     }
 
     /**
-     * Jobs of which something must be written now: tasks that have to be placed again, the end of a job, the last of its
-     * tasks on this controller's machines, or what has waited for [MAX_WRITE_DELAY].
+     * Jobs that are due to be written: jobs with tasks to place again, jobs whose tasks on this controller's machines all have
+     * proven outcomes, and jobs whose outcomes have waited for [MAX_WRITE_DELAY].
      */
     fun jobsToWrite(): List<JobId> {
         pending.values.removeIf { it.machines.isEmpty() }
@@ -130,7 +131,7 @@
         return context.now - write.sinceUs >= MAX_WRITE_DELAY || isUrgent(job, write)
     }
 
-    /** Found anew only when the job, what is proven of it or control has changed: this is asked 25 times a second. */
+    /** Whether the job must be written without delay. The result is cached, since it is needed 25 times per second. */
     private fun isUrgent(
         job: Job,
         write: PendingWrite,
@@ -142,7 +143,7 @@
         return isUrgent
     }
 
-    /** What a faulty job leaves behind is written with the rest of it: nobody waits for its next failure. */
+    /** Whether [job] has ended attempts to place again. Those of a faulty job are not urgent, as it is expected to fail again. */
     private fun hasTasksToPlaceAgain(
         job: Job,
         write: PendingWrite,
@@ -151,7 +152,10 @@
         return write.machines.any { machine -> (outcomesOn[machine]?.countEnded(job.id) ?: 0) > 0 }
     }
 
-    /** Nothing of it is left that could be proven here soon: it has ended, or what is left waits or is elsewhere. */
+    /**
+     * Whether all attempts of [job] on this controller's machines have proven outcomes. What remains of the job, if anything, is
+     * queued or placed on machines of other controllers.
+     */
     private fun areAllOutcomesProven(
         job: Job,
         write: PendingWrite,
@@ -169,7 +173,7 @@
     }
 
     private companion object {
-        /** How long finished tasks may wait to be written together. */
+        /** Maximum time for which outcomes wait to be written together. */
         const val MAX_WRITE_DELAY: Micros = 6_000 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
+++ b/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
@@ -6,14 +6,15 @@
 import mintpick.engine.runtime.EngineContext
 
 /**
- * Which machines this controller's calls reach: calls that failed, when a call last got through to each zone, and whether
- * the controller itself is cut off from all agents. Times are microseconds of the steady clock. Event-loop thread only.
+ * Tracks which machines this controller can reach: failed calls by machine, the last contact with each zone, and whether a
+ * network partition separates the controller from all agents. Times are microseconds of the monotonic clock. Event-loop thread
+ * only.
  */
 internal class ReachabilityTracker(
     private val context: EngineContext,
     private val index: AgentIndex,
 ) {
-    /** Calls to one machine that failed one after the other. */
+    /** Consecutive failed calls to one machine; the first failed at [sinceUs]. */
     private class FailedCalls(
         val sinceUs: Micros,
     ) {
@@ -25,18 +26,18 @@
     private val lastReachedUsByZone = HashMap<String, Micros>()
     private var isolatedSinceUs: Micros? = null
 
-    /** Whether a call to [machine] has failed and none has got through since; its heartbeats may still come. */
+    /** Whether the last call to [machine] failed. Its heartbeats may still arrive. */
     fun isUnreachable(machine: MachineId): Boolean = failedCalls(machine) > 0
 
-    /** How many calls to [machine] have failed one after the other. */
+    /** Number of consecutive failed calls to [machine]. */
     fun failedCalls(machine: MachineId): Int = failuresByMachine[machine]?.count ?: 0
 
-    /** When the first of the calls that failed one after the other failed; null: the last one got through. */
+    /** Time of the first of the consecutive failed calls to [machine]; null if the last call succeeded. */
     fun unreachableSince(machine: MachineId): Micros? = failuresByMachine[machine]?.sinceUs
 
     /**
-     * Whether [machine] did not answer the last call, is late with its heartbeat, or was never heard: when many machines die
-     * at once, the first call to each would otherwise hold up the calls to live ones.
+     * Whether [machine] may be dead: the last call to it failed, it is unresponsive, or it never sent its status. Treating such
+     * machines separately keeps calls to live machines from being delayed when many machines fail at once.
      */
     fun isSuspect(machine: MachineId): Boolean {
         val view = index.view(machine)
@@ -44,27 +45,30 @@
         return isUnreachable(machine) || index.isUnresponsive(view)
     }
 
-    /** Whether the wait after failed calls is over, which grows with their number. */
+    /** Whether the backoff after failed calls to [machine] is over. */
     fun mayRetry(machine: MachineId): Boolean = context.now >= (failuresByMachine[machine]?.retryAfterUs ?: 0)
 
     /**
-     * When a call last got through to a machine in [zone], or a heartbeat from there to us; 0: never. It is by zone since with
-     * few machines a wave of hangs may leave none that is called often.
+     * Time of the last successful call to a machine in [zone] or the last heartbeat from one; 0 if there was none. Contact is
+     * recorded by zone because, with few machines, many hanging at once may leave none that is called often.
      */
     fun lastReachedInZone(zone: String?): Micros = lastReachedUsByZone[zone] ?: 0
 
-    /** A heartbeat that an agent in [zone] waits on has come: in a partition neither calls nor heartbeats get through. */
+    /**
+     * Records a heartbeat from [zone] whose agent waits for the answer. It shows that there is no network partition, which would
+     * block heartbeats as well as calls.
+     */
     fun onHeartbeatFrom(zone: String) {
         lastReachedUsByZone[zone] = context.now
     }
 
-    /** A call to [machine] got through. */
+    /** Records that [machine] answered a call. */
     fun onCallAnswered(machine: MachineId) {
         failuresByMachine.remove(machine)
         context.cache.machines[machine]?.let { lastReachedUsByZone[it.record.zone] = context.now }
     }
 
-    /** A call to [machine] failed. */
+    /** Records a failed call to [machine]. */
     fun onCallFailed(machine: MachineId) {
         if (index.isTerminated(machine)) return
         val failed = failuresByMachine.getOrPut(machine) { FailedCalls(context.now) }
@@ -72,51 +76,54 @@
         failed.retryAfterUs = context.now + minOf(MAX_BACKOFF, BACKOFF_STEP * failed.count)
     }
 
-    /** Forgets the calls to [machine] that failed. */
+    /** Removes the failed calls to [machine]. */
     fun forget(machine: MachineId) {
         failuresByMachine.remove(machine)
     }
 
-    /** Control has changed: what failed while [acquired] machines were another controller's says nothing of now. */
+    /**
+     * Must be called when control over machines has changed. Removes failed calls to [acquired] machines, because failures before
+     * control was acquired say nothing about their present state, and failed calls to machines that are no longer listed.
+     */
     fun onControlChanged(acquired: Collection<MachineId>) {
         acquired.forEach(failuresByMachine::remove)
         failuresByMachine.keys.retainAll(context.cache.machines.keys)
     }
 
-    /** A process pause has just ended: calls that failed during it say nothing of the machines. */
+    /** Must be called when a process pause has ended. Calls that failed during the pause don't indicate machine failures. */
     fun onProcessPause() {
         failuresByMachine.clear()
         isolatedSinceUs = null
     }
 
     /**
-     * Calls to several machines fail and none gets through anywhere: this controller is cut off from the agents. It then
-     * takes over nothing from controllers that are not, until a call or heartbeat gets through: the machines whose calls
-     * failed may all go while the partition lasts.
+     * Whether a network partition separates this controller from all agents: calls to several machines fail, and there is no
+     * contact with any zone. Until contact is restored, the controller takes over nothing from controllers that do reach agents.
+     * The state remains even if all machines whose calls failed are removed during the partition.
      */
     val isIsolatedFromAgents: Boolean get() = isolatedSinceUs != null
 
-    /** To be called in each step: notes when the controller is cut off, and when no longer. */
+    /** Updates [isIsolatedFromAgents]; must be called in each step. */
     fun updateIsolation() {
         val reachedUs = lastReachedUsByZone.values.maxOrNull() ?: 0
         val sinceUs = isolatedSinceUs
         if (sinceUs == null) {
-            val nothingGetsThrough = context.now - reachedUs > ISOLATION_TIMEOUT
-            if (failuresByMachine.size >= MIN_UNREACHABLE_MACHINES && nothingGetsThrough) isolatedSinceUs = context.now
+            val hasNoContact = context.now - reachedUs > ISOLATION_TIMEOUT
+            if (failuresByMachine.size >= MIN_UNREACHABLE_MACHINES && hasNoContact) isolatedSinceUs = context.now
         } else if (reachedUs > sinceUs || context.cache.machines.isEmpty()) {
             isolatedSinceUs = null
         }
     }
 
     companion object {
-        /** By so much the wait for the next call grows with each one that fails. */
+        /** Amount by which the backoff grows with each consecutive failed call. */
         private const val BACKOFF_STEP: Micros = SECOND / 2
         private const val MAX_BACKOFF: Micros = 3 * SECOND
 
-        /** So many machines at least must be unreachable for the controller to be cut off. */
+        /** Minimum number of unreachable machines for the controller to be considered isolated. */
         private const val MIN_UNREACHABLE_MACHINES = 3
 
-        /** For so long nothing must have got through for the controller to be cut off. */
+        /** Minimum time without any contact for the controller to be considered isolated. */
         private const val ISOLATION_TIMEOUT: Micros = 4 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Reconciles the records of jobs with what machines prove: [OutcomeDetector] finds it, [PendingJobWrites] keeps it until it
- * is written, and [TaskFailureHandler] counts errors. Event-loop thread only.
+ * Reconciles job records with the task outcomes that machines prove. [OutcomeDetector] finds the outcomes, [PendingJobWrites]
+ * keeps them until they are written, and [TaskFailureHandler] counts errors. Event-loop thread only.
  */
 class Reconciler(
     private val context: EngineContext,
@@ -25,23 +25,23 @@
     private val detector = OutcomeDetector(context, shardClaims, agents, commandPlanner, failureHandler)
     private val pendingWrites = PendingJobWrites(context, shardClaims, failureHandler.failures)
 
-    /** Machines that are proven to be terminated, with everything on them. */
+    /** Machines that are proven to be terminated, so that all tasks on them have ended. */
     private val terminated = HashSet<MachineId>()
 
-    /** Machines to be examined in this step. */
+    /** Machines to examine in this step. */
     private val changedMachines = HashSet<MachineId>()
     private var nextSweepUs: Micros = 0
     private var lastClaimEpoch = -1L
 
     private val cache get() = context.cache
 
-    /** Which jobs and machines are at fault for tasks that end with an error. */
+    /** Jobs and machines that are considered faulty because of tasks that ended with an error. */
     val failures: FailureTracker get() = failureHandler.failures
 
     /** Whether [machine] is proven to be terminated. */
     fun isTerminated(machine: MachineId): Boolean = machine in terminated
 
-    /** [machine] is proven to be terminated, and every task on it has ended; [reason] goes into the log. */
+    /** Records that [machine] is proven to be terminated and that all tasks on it have ended; [reason] is logged. */
     fun markTerminated(
         machine: MachineId,
         reason: String,
@@ -52,18 +52,18 @@
         changedMachines += machine
     }
 
-    /** Whether the backoff of [job] is over: one that keeps failing may fail on every machine until its user cancels it. */
+    /** Whether the backoff of [job] is over. It limits the retries of a job that keeps failing until its user cancels it. */
     fun mayRetry(job: JobId): Boolean = failures.mayRetry(job, context.now)
 
-    /** Whether no worker's refusal of a start on [machine] is recent. */
+    /** Whether the agent of [machine] has not refused a start recently. */
     fun acceptsStarts(machine: MachineId): Boolean = failureHandler.acceptsStarts(machine)
 
-    /** Room on [machine] that the records still show as taken. */
+    /** Resources on [machine] that are proven to be free although the records still show them as used. */
     fun freedOn(machine: MachineId): Resources = pendingWrites.freedOn(machine)
 
     /**
-     * Examines the [changed] machines; all with tasks when claims have changed, and this controller's once in
-     * [SWEEP_INTERVAL] for what time alone proves: that a lease has expired.
+     * Examines the [changed] machines. When claims have changed, examines all machines with tasks. Otherwise also examines all
+     * controlled machines every [SWEEP_INTERVAL], to detect lease expiry, which no message announces.
      */
     fun reconcile(changed: Collection<MachineId>) {
         changedMachines += changed
@@ -95,16 +95,16 @@
             else -> detector.detect(machine, before)
         }
 
-    /** Changes [draft] by all that is proven of its job. */
+    /** Applies all proven outcomes of the job to [draft]. */
     fun apply(draft: JobUpdate) = pendingWrites.apply(draft)
 
-    /** Jobs of which something must be written now; see [PendingJobWrites.jobsToWrite]. */
+    /** Jobs that are due to be written; see [PendingJobWrites.jobsToWrite]. */
     fun jobsToWrite(): List<JobId> = pendingWrites.jobsToWrite()
 
     private companion object {
         val LOG = LoggerFactory.getLogger(Reconciler::class.java)
 
-        /** How often this controller's machines are examined though nothing about them has changed. */
+        /** Interval at which controlled machines are examined even if nothing has changed. */
         const val SWEEP_INTERVAL: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/StopReason.kt
+++ b/src/main/kotlin/mintpick/engine/agents/StopReason.kt
@@ -1,13 +1,13 @@
 package mintpick.engine.agents
 
-/** Why an attempt is stopped, and not started again, although its job is open. */
+/** Reason why an attempt is stopped, and not started again, although its job is open. */
 enum class StopReason {
-    /** It makes room for another job. */
+    /** The attempt is preempted for another job. */
     PREEMPTED,
 
-    /** A transaction that requeues it is under way. */
+    /** A transaction that requeues the attempt is in flight. */
     REQUEUE_SENT,
 
-    /** The outcome of a transaction that requeues it is unknown: it may be committed at any later time. */
+    /** The outcome of a transaction that requeues the attempt is unknown, so it may be committed at any later time. */
     REQUEUE_OUTCOME_UNKNOWN,
 }
--- a/src/main/kotlin/mintpick/engine/agents/TaskFailureHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/TaskFailureHandler.kt
@@ -14,31 +14,31 @@
 import mintpick.wire.TaskState
 import org.slf4j.LoggerFactory
 
-/** Counts tasks that end with an error and starts that workers refuse, and logs them. Event-loop thread only. */
+/** Counts and logs tasks that end with an error and starts that agents refuse. Event-loop thread only. */
 class TaskFailureHandler(
     private val context: EngineContext,
 ) {
-    /** Which jobs and machines are at fault for tasks that end with an error. */
+    /** Jobs and machines that are considered faulty because of tasks that ended with an error. */
     val failures = FailureTracker()
 
-    /** Since when replicas of services that have failed before have been running. */
+    /** When each replica was first seen running; only for services that have failed before. */
     private val runningSinceUs = HashMap<AttemptId, Micros>()
 
-    /** Until when machines whose workers refused a start get no other one. */
+    /** Until when no task is placed on each machine whose agent has refused a start. */
     private val startsRefusedUntilUs = HashMap<MachineId, Micros>()
 
     private val cache get() = context.cache
 
-    /** Whether no worker's refusal of a start on [machine] is recent. */
+    /** Whether the agent of [machine] has not refused a start recently. */
     fun acceptsStarts(machine: MachineId): Boolean = context.now >= (startsRefusedUntilUs[machine] ?: 0)
 
-    /** A task of [job] has completed on [machine]. */
+    /** Must be called when a task of [job] has completed on [machine]. */
     fun onCompleted(
         machine: MachineId,
         job: JobId,
     ) = failures.succeeded(machine, job)
 
-    /** [attempt] of [job] has ended on [machine]; [cause] is null if its worker does not know it. */
+    /** Must be called when [attempt] of [job] has ended on [machine]; [cause] is null if the agent does not know the attempt. */
     fun onEnded(
         machine: MachineId,
         attempt: AttemptId,
@@ -55,7 +55,10 @@
         }
     }
 
-    /** A service never completes: a replica that goes on running shows that its job is not at fault. */
+    /**
+     * Records that the service replica [attempt] is listed in the newest status of its machine. Services never complete, so a
+     * replica that has run for [STABLE_RUN_TIME] counts as a success of its job.
+     */
     fun onReplicaObserved(
         view: MachineView,
         attempt: AttemptId,
@@ -66,13 +69,16 @@
         if (context.now - sinceUs > STABLE_RUN_TIME) failures.succeeded(view.id, attempt.task.job)
     }
 
-    /** Forgets jobs that are no longer open, machines that are no longer listed and replicas that are no longer placed. */
+    /** Removes the state of jobs that are no longer open, machines that are no longer listed and replicas that are no longer placed. */
     fun forgetFinished() {
         failures.retain({ cache.job(it)?.stage == StoredStage.OPEN }, { it in cache.machines })
         runningSinceUs.keys.removeIf { cache.job(it.task.job)?.placement(it.task.index)?.attempt != it.attempt }
     }
 
-    /** One line for each job and one when it is found faulty: an array that fails whole must not flood the log. */
+    /**
+     * Counts an error. Above the debug level it logs only the job's first error and that the job is faulty, because a failing
+     * array job would otherwise flood the log.
+     */
     private fun onError(
         machine: MachineId,
         attempt: AttemptId,
@@ -91,10 +97,10 @@
     private companion object {
         val LOG = LoggerFactory.getLogger(TaskFailureHandler::class.java)
 
-        /** A replica that has been running for so long does not fail at its start. */
+        /** Running time after which a replica counts as started successfully. */
         const val STABLE_RUN_TIME: Micros = 30 * SECOND
 
-        /** How long a machine gets nothing to start after its worker has refused a start. */
+        /** How long no task is placed on a machine after its agent has refused a start. */
         const val REFUSED_START_BACKOFF: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/agents/TaskOutcomes.kt
+++ b/src/main/kotlin/mintpick/engine/agents/TaskOutcomes.kt
@@ -6,31 +6,31 @@
 import mintpick.core.TaskId
 
 /**
- * What is proven of the tasks that the records still show on one machine, until it is written.
+ * Proven outcomes of tasks on one machine that have not been written yet, so that the records still show the tasks there.
  *
- * Attempts are listed in the order in which the maps were filled: it decides the order of changes within a transaction.
+ * Attempts are listed in the iteration order of the maps, which determines the order of changes in a transaction.
  */
 class TaskOutcomes private constructor(
     private val completed: Map<TaskId, Int>,
     private val ended: Map<TaskId, Int>,
-    /** The machine itself is terminated. Else what is proven holds only as long as this controller commands the machine. */
+    /** Whether the machine is terminated. If it is not, the outcomes hold only while this controller controls the machine. */
     val isTerminated: Boolean,
-    /** Room of proven attempts, which the records still show as taken. */
+    /** Resources of these attempts, which are free although the records still show them as used. */
     val freed: Resources,
 ) {
-    /** Jobs of which something is proven here. */
+    /** Jobs with proven outcomes on the machine. */
     val jobs: Set<JobId> = (completed.keys + ended.keys).mapTo(LinkedHashSet()) { it.job }
 
-    /** Whether nothing is proven. */
+    /** Whether there are no proven outcomes. */
     val isEmpty: Boolean get() = completed.isEmpty() && ended.isEmpty()
 
     /** Whether [attempt] has completed. */
     fun hasCompleted(attempt: AttemptId): Boolean = completed[attempt.task] == attempt.attempt
 
-    /** Whether [attempt] runs nowhere and never will, and its task has to be started again. */
+    /** Whether [attempt] does not run and never will, so that its task must be placed again. */
     fun hasEnded(attempt: AttemptId): Boolean = ended[attempt.task] == attempt.attempt
 
-    /** Whether just these [tasks] are proven to have ended. */
+    /** Whether exactly these [tasks] are proven to have ended without completing. */
     fun hasEndedExactly(tasks: Set<TaskId>): Boolean = ended.keys == tasks
 
     /** Attempts of [job] that have completed. */
@@ -39,10 +39,10 @@
     /** Attempts of [job] that have ended without completing their tasks. */
     fun endedOf(job: JobId): List<AttemptId> = attemptsOf(job, ended)
 
-    /** How many tasks of [job] have completed. */
+    /** Number of tasks of [job] that have completed. */
     fun countCompleted(job: JobId): Int = completed.keys.count { it.job == job }
 
-    /** How many attempts of [job] have ended without completing their tasks. */
+    /** Number of attempts of [job] that have ended without completing their tasks. */
     fun countEnded(job: JobId): Int = ended.keys.count { it.job == job }
 
     private fun attemptsOf(
@@ -50,13 +50,13 @@
         attempts: Map<TaskId, Int>,
     ): List<AttemptId> = attempts.filterKeys { it.job == job }.map { (task, attempt) -> AttemptId(task, attempt) }
 
-    /** Collects the outcomes that a machine's reports prove. */
+    /** Collects the outcomes that are proven by the status of a machine. */
     class Builder {
         private val completed = HashMap<TaskId, Int>()
         private val ended = HashMap<TaskId, Int>()
         private var freed = Resources.ZERO
 
-        /** Adds a completed [attempt] that took [demand]. */
+        /** Adds a completed [attempt] with the resource demand [demand]. */
         fun addCompleted(
             attempt: AttemptId,
             demand: Resources,
@@ -65,7 +65,7 @@
             freed += demand
         }
 
-        /** Adds an [attempt] that took [demand] and has ended without completing its task. */
+        /** Adds an [attempt] with the resource demand [demand] that has ended without completing its task. */
         fun addEnded(
             attempt: AttemptId,
             demand: Resources,
@@ -74,12 +74,15 @@
             freed += demand
         }
 
-        /** The outcomes that were added. */
+        /** Returns the outcomes that were added. */
         fun build(): TaskOutcomes = TaskOutcomes(completed, ended, isTerminated = false, freed)
     }
 
     companion object {
-        /** All [attempts] of a terminated machine, or of one whose lease has expired: their room is not to be used again. */
+        /**
+         * Outcomes for a machine that is terminated or whose agent's lease has expired: all [attempts] have ended. Their resources
+         * are not freed, since the machine must not be given new work.
+         */
         fun allEnded(
             attempts: List<AttemptId>,
             isTerminated: Boolean,
--- a/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
@@ -9,15 +9,15 @@
 import mintpick.engine.runtime.EngineContext
 
 /**
- * Machines of other controllers that these do not serve, judged from the heartbeats that keep coming here. Times are
- * microseconds of the steady clock. Event-loop thread only.
+ * Detects machines that are not served by the controllers that control them, from the misdirected heartbeats that their agents
+ * keep sending to this controller. Times are microseconds of the monotonic clock. Event-loop thread only.
  */
 internal class UnservedMachines(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val health: ControllerHealth,
 ) {
-    /** Heartbeats of a machine that is another controller's, one soon after the other. */
+    /** Heartbeats in short succession from a machine that another controller controls. */
     private class MisdirectedHeartbeats(
         var firstUs: Micros,
     ) {
@@ -27,19 +27,21 @@
 
     private val misdirectedByMachine = HashMap<MachineId, MisdirectedHeartbeats>()
 
-    /** By shard, when a machine of it was last found unserved. */
+    /** Machines of each shard that were recently found unserved, with the time at which each was last found so. */
     private val unservedUsByShard = HashMap<Int, HashMap<MachineId, Micros>>()
 
     /**
-     * Counts a heartbeat and says whether its machine is unserved: its agent keeps coming although it was sent to its
-     * controller, or that controller is silent to us too. Ask once for each heartbeat that an agent waits on.
+     * Records a heartbeat of [machine]; returns whether the machine is unserved. It is unserved if its agent keeps sending
+     * heartbeats here although it was redirected to its controller, or if this controller receives no peer hints from that
+     * controller either. Must be called once for each heartbeat whose agent waits for the answer.
      */
     fun recordHeartbeat(machine: MachineId): Boolean {
         val controller = shardClaims.controlClaim(machine)?.node
         if (!health.isHealthy() || controller == null || controller == context.self || !shardClaims.isLive(controller)) return false
         val misdirected = count(machine)
-        // Whoever has just claimed it is alive to the state service, though we may not hear them: they are tried first.
-        // While controllers refused each other's connections, shards once went back and forth until leases expired.
+        // The agent tries a controller with a recent claim first: that controller has just written to the state store, even if its
+        // hints don't arrive here. Without this rule, while controllers refused each other's connections, shards changed hands
+        // repeatedly until agent leases expired.
         val lacksControllerHints = shardClaims.isClaimSettled(machine) && !health.hasRecentHint(controller)
         val isUnserved =
             lacksControllerHints || (isRepeatedlyMisdirected(misdirected) && !health.hasHeartbeatElsewhere(machine, controller))
@@ -61,7 +63,7 @@
     private fun isRepeatedlyMisdirected(misdirected: MisdirectedHeartbeats): Boolean =
         misdirected.count >= MIN_MISDIRECTIONS && context.now - misdirected.firstUs > MIN_MISDIRECTION_SPAN
 
-    /** Notes that [machine] of [shard] was found unserved. */
+    /** Records that [machine] of [shard] is unserved. */
     fun recordUnserved(
         machine: MachineId,
         shard: Int,
@@ -71,13 +73,13 @@
         unservedUs.values.removeIf { context.now - it > UNSERVED_RETENTION }
     }
 
-    /** Whether all of [shard] should be taken over from [controller], and not one machine alone. */
+    /** Whether the whole [shard] should be taken over from [controller], rather than a single machine. */
     fun isWholeShardUnserved(
         shard: Int,
         controller: NodeId,
     ): Boolean = (unservedUsByShard[shard]?.size ?: 0) >= WHOLE_SHARD_MACHINES || !health.hasRecentHint(controller)
 
-    /** Forgets the misdirected heartbeats of [machine]: it is served by us, or terminated. */
+    /** Removes the misdirected heartbeats of [machine], which is now served by this controller or terminated. */
     fun forget(machine: MachineId) {
         misdirectedByMachine.remove(machine)
     }
@@ -88,7 +90,7 @@
         private const val MISDIRECTION_RETENTION: Micros = 15 * SECOND
         private const val UNSERVED_RETENTION: Micros = 8 * SECOND
 
-        /** From so many unserved machines of a shard on, its controller is taken not to serve the whole shard. */
+        /** Minimum number of unserved machines of a shard for the whole shard to be considered unserved. */
         private const val WHOLE_SHARD_MACHINES = 3
     }
 }
--- a/src/main/kotlin/mintpick/engine/cache/Claim.kt
+++ b/src/main/kotlin/mintpick/engine/cache/Claim.kt
@@ -2,12 +2,12 @@
 
 import mintpick.core.NodeId
 
-/** A committed claim of a shard, of a borrowed machine or of the leadership. */
+/** A committed claim on a shard, a borrowed machine or the leadership. */
 data class Claim(
-    /** The controller that holds it. */
+    /** The controller that owns the claim. */
     val node: NodeId,
-    /** Lease of the state service that the record is attached to; it ends with its holder's process. */
+    /** Lease of the state store that the record is attached to. It expires after its owner's process has ended. */
     val lease: Long,
-    /** Version of the record: the fencing token of all commands that are given under it. */
+    /** Version of the record, used as the fencing token of all commands that are issued under the claim. */
     val version: Long,
 )
--- a/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
@@ -7,32 +7,32 @@
 import mintpick.wire.WireJson
 
 /**
- * Claims of shards and of the leadership, and borrowed machines. The `apply` functions throw [IllegalArgumentException] for
- * an unreadable record.
+ * Claims on shards, borrowed machines and the leadership. The `apply` functions throw [IllegalArgumentException] for an
+ * unreadable record.
  */
 internal class ClaimCache {
     private val claimsByShard = HashMap<Int, Claim>()
     private val borrowsByMachine = HashMap<MachineId, Claim>()
     private val borrowEndRevisionsByMachine = HashMap<MachineId, Long>()
 
-    /** Claims by shard. */
+    /** Claims on shards, by shard index. */
     val claims: Map<Int, Claim> get() = claimsByShard
 
-    /** Claims of borrowed machines: their holders command them whoever holds their shards. */
+    /** Claims on borrowed machines. The owner of such a claim commands the machine, whichever controller owns its shard. */
     val borrows: Map<MachineId, Claim> get() = borrowsByMachine
 
-    /** Revisions at which borrowings ended: all commands that were given under them have lower tokens. */
+    /** Revisions at which borrowings ended. All commands issued under these borrowings have lower fencing tokens. */
     val borrowEndRevisions: Map<MachineId, Long> get() = borrowEndRevisionsByMachine
 
-    /** The leader's claim; null: there is no leader. */
+    /** The leader's claim; null if there is no leader. */
     var leader: Claim? = null
         private set
 
-    /** Rises whenever a shard's claim or a borrowing changes. */
+    /** Incremented whenever a claim on a shard or a borrowed machine changes. */
     var epoch = 0L
         private set
 
-    /** The claim of [shard] was written, or deleted if [value] is null. */
+    /** Applies a write of the claim on [shard], or its deletion if [value] is null. */
     fun applyShard(
         shard: Int,
         value: JsonElement?,
@@ -42,7 +42,7 @@
         claimsByShard.applyRecord(shard, value) { decode(it, version) }
     }
 
-    /** The borrowing of [machine] was written, or ended if [value] is null. */
+    /** Applies a write of the claim on the borrowed [machine], or the end of the borrowing if [value] is null. */
     fun applyBorrow(
         machine: MachineId,
         value: JsonElement?,
@@ -57,7 +57,7 @@
         borrowsByMachine.applyRecord(machine, value) { decode(it, version) }
     }
 
-    /** The leader's claim was written, or deleted if [value] is null. */
+    /** Applies a write of the leader's claim, or its deletion if [value] is null. */
     fun applyLeader(
         value: JsonElement?,
         version: Long,
@@ -65,7 +65,7 @@
         leader = value?.let { decode(it, version) }
     }
 
-    /** Forgets when borrowings of [machines] ended, which are in no list any more. */
+    /** Removes the revisions at which borrowings of [machines] ended, after these machines were removed from all machine lists. */
     fun removeBorrowEndRevisions(machines: Collection<MachineId>) = machines.forEach(borrowEndRevisionsByMachine::remove)
 
     private fun decode(
--- a/src/main/kotlin/mintpick/engine/cache/ControllerCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/ControllerCache.kt
@@ -8,36 +8,36 @@
 import mintpick.wire.WireJson
 
 /**
- * What each controller has stored about itself. The `apply` functions throw [IllegalArgumentException] for an unreadable
- * record.
+ * Records that the controllers have stored about themselves. The `apply` functions throw [IllegalArgumentException] for an
+ * unreadable record.
  */
 internal class ControllerCache {
     private val nodesById = HashMap<NodeId, NodeRecord>()
     private val announcedFormatsByNode = HashMap<NodeId, Int>()
     private val usageByNode = HashMap<NodeId, MutableMap<Int, UsageRecord>>()
 
-    /** Controllers whose lease of the state service holds. */
+    /** Registrations of the controllers whose leases have not expired. */
     val nodes: Map<NodeId, NodeRecord> get() = nodesById
 
-    /** The newest record format that each controller has announced; absent: the oldest. */
+    /** Level of the newest record format that each controller has announced. A controller without an entry reads only the oldest. */
     val announcedFormats: Map<NodeId, Int> get() = announcedFormatsByNode
 
-    /** Use by team as each controller has stored it, by piece. */
+    /** Usage by team as stored by each controller, by piece. */
     val usage: Map<NodeId, Map<Int, UsageRecord>> get() = usageByNode
 
-    /** [node]'s registration was written, or deleted if [value] is null. */
+    /** Applies a write of [node]'s registration, or its deletion if [value] is null. */
     fun applyNode(
         node: NodeId,
         value: JsonElement?,
     ) = nodesById.applyRecord(node, value) { WireJson.decodeFromJsonElement(NodeRecord.serializer(), it) }
 
-    /** [node]'s announcement of a record format was written, or deleted if [value] is null. */
+    /** Applies a write of [node]'s record format announcement, or its deletion if [value] is null. */
     fun applyFormat(
         node: NodeId,
         value: JsonElement?,
     ) = announcedFormatsByNode.applyRecord(node, value) { WireJson.decodeFromJsonElement(FormatRecord.serializer(), it).level }
 
-    /** A piece of [node]'s use by team was written, or deleted if [value] is null. */
+    /** Applies a write of a piece of [node]'s usage by team, or its deletion if [value] is null. */
     fun applyUsage(
         node: NodeId,
         piece: Int,
--- a/src/main/kotlin/mintpick/engine/cache/FinalJob.kt
+++ b/src/main/kotlin/mintpick/engine/cache/FinalJob.kt
@@ -2,9 +2,9 @@
 
 import mintpick.wire.StoredStage
 
-/** A job in a final stage, which no further change can follow. */
+/** A job in a final stage, which never changes again. */
 data class FinalJob(
     val stage: StoredStage,
-    /** How many tasks it has. */
+    /** Number of tasks of the job. */
     val tasks: Int,
 )
--- a/src/main/kotlin/mintpick/engine/cache/JobCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -13,13 +13,13 @@
 import mintpick.wire.StoredStage
 
 /**
- * Jobs as their records and those of their predecessors show them. Their placements are kept in [placements]. The `apply`
- * functions throw [IllegalArgumentException] for an unreadable record.
+ * Jobs, as described by their records and by those of their predecessors. Their placements are indexed in [placements]. The
+ * `apply` functions throw [IllegalArgumentException] for an unreadable record.
  */
 internal class JobCache(
     private val placements: PlacementIndex,
 ) {
-    /** A main record that was read before all pieces of its specification. */
+    /** A main record that was received before all pieces of its specification. */
     private class IncompleteJob(
         val record: JobRecord,
         val version: Long,
@@ -31,34 +31,34 @@
     private val waitingIds = LinkedHashSet<JobId>()
     private val finalizableIds = LinkedHashSet<JobId>()
 
-    /** Pieces of specifications. */
+    /** Pieces of specifications that are stored separately. */
     val specPieces = SpecPieceCache()
 
-    /** What follows for a job from the records of its predecessors. */
+    /** Dependencies between jobs, with the readiness that follows from the records of predecessors. */
     val dependencies = DependencyGraph()
 
     /** Jobs that are not in a final stage. */
     val jobs: Collection<Job> get() = jobsById.values
 
-    /** The job [id]; null: it is in a final stage, or not known. */
+    /** The job [id]; null if it is in a final stage, or if it is unknown. */
     fun job(id: JobId): Job? = jobsById[id]
 
     /** The job [id] if it is in a final stage. */
     fun finalJob(id: JobId): FinalJob? = finalJobs[id]
 
-    /** Open jobs with tasks to place, the one that has been so for longest first. */
+    /** Jobs with tasks to place, the longest-waiting first. */
     fun waitingJobs(): List<Job> = waitingIds.mapNotNull { jobsById[it] }
 
-    /** Ids of the cancelled jobs that have tasks left. */
+    /** Ids of the cancelled jobs that still have placed tasks. */
     fun cancelledJobs(): List<String> {
         val cancelled = jobsById.values.filter { it.stage == StoredStage.CANCELLED && it.id !in finalizableIds }
         return cancelled.map { it.id.text }
     }
 
-    /** Cancelled jobs without a task left, whose records are not final yet. */
+    /** Cancelled jobs without placed tasks, whose final records have not been written yet. */
     fun finalizableJobs(): Sequence<Job> = finalizableIds.asSequence().mapNotNull { jobsById[it] }
 
-    /** The main record of [id] was written, or deleted if [value] is null. */
+    /** Applies a write of the main record of [id], or its deletion if [value] is null. */
     fun applyJob(
         id: JobId,
         value: JsonElement?,
@@ -104,11 +104,11 @@
         if (job.stage == StoredStage.CANCELLED) updateSuccessors(id, StoredStage.CANCELLED)
     }
 
-    /** Chunks in records of their own, which the main record says nothing about. */
+    /** Chunks stored in records of their own, which the main record does not contain. */
     private fun furtherChunks(job: Job): Map<Int, Chunk> =
         (1 until job.chunkCount).associateWith { job.chunk(it) }.filterValues { it.version > 0 }
 
-    /** A piece of [id]'s specification was written, or deleted if [value] is null. */
+    /** Applies a write of a piece of [id]'s specification, or its deletion if [value] is null. */
     fun applySpec(
         id: JobId,
         piece: Int,
@@ -119,7 +119,7 @@
         applyOpen(id, incomplete.record, incomplete.version)
     }
 
-    /** The chunk [index] of [id] was written; nothing follows from a deletion, nor for an unknown job. */
+    /** Applies a write of chunk [index] of [id]. Deletions and chunks of unknown jobs are ignored. */
     fun applyChunk(
         id: JobId,
         index: Int,
@@ -134,7 +134,7 @@
         replace(id, job.withChunk(index, chunk))
     }
 
-    /** The job [stored] with what follows from its predecessors' records. */
+    /** The job [stored], updated with the readiness that follows from its predecessors' records. */
     private fun withReadiness(stored: Job): Job =
         when (dependencies.add(stored.id, stored.spec.predecessorIds, ::predecessorState)) {
             Readiness.RELEASED -> stored
@@ -149,7 +149,7 @@
             else -> PredecessorState.PENDING
         }
 
-    /** Releases or withdraws the successors of [id], which is done or cancelled as [stage] says. */
+    /** Releases successors of [id] if [stage] is done, or cancels them if it is cancelled. */
     private fun updateSuccessors(
         id: JobId,
         stage: StoredStage,
--- a/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -17,15 +17,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * This controller's copy of the service's records: a cache for each kind of record, and indexes over them. Changes arrive
- * from the watch and from this controller's own transactions, in any order: the higher version of a key wins.
+ * Local copy of the state store's records: a cache for each kind of record, and indexes derived from them. Changes arrive from
+ * the watch and from this controller's own transactions in any order; the highest version of a key wins.
  *
  * Event-loop thread only. Collections are views that change with the cache.
  */
 class LocalCache {
     private val versions = Object2LongOpenHashMap<String>()
 
-    /** Machines whose assigned tasks or records have changed since this was last emptied. */
+    /** Machines whose assigned tasks or records have changed since this set was last cleared. */
     val changedMachines: MutableSet<MachineId> = HashSet()
     private val placementIndex = PlacementIndex(changedMachines)
     private val jobCache = JobCache(placementIndex)
@@ -33,29 +33,29 @@
     private val claimCache = ClaimCache()
     private val controllerCache = ControllerCache()
 
-    /** Everything up to this revision of the state service is in the cache. */
+    /** All changes up to this revision of the state store are in the cache. */
     var revision: Long = 0
         private set
 
     /** Jobs that are not in a final stage. */
     val jobs: Collection<Job> get() = jobCache.jobs
 
-    /** What follows for a job from the records of its predecessors. */
+    /** Dependencies between jobs, with the readiness that follows from the records of predecessors. */
     val dependencies: DependencyGraph get() = jobCache.dependencies
 
-    /** Jobs with specifications stored in pieces of their own, whether there is such a job or not. */
+    /** Ids with separately stored specification pieces, whether or not a job record exists. */
     val jobsWithSpecPieces: Set<JobId> get() = jobCache.specPieces.jobs
 
-    /** Claims by shard. */
+    /** Claims on shards, by shard index. */
     val claims: Map<Int, Claim> get() = claimCache.claims
 
-    /** Claims of borrowed machines: their holders command them whoever holds their shards. */
+    /** Claims on borrowed machines. The owner of such a claim commands the machine, whichever controller owns its shard. */
     val borrows: Map<MachineId, Claim> get() = claimCache.borrows
 
-    /** Revisions at which borrowings ended: all commands that were given under them have lower tokens. */
+    /** Revisions at which borrowings ended. All commands issued under these borrowings have lower fencing tokens. */
     val borrowEndRevisions: Map<MachineId, Long> get() = claimCache.borrowEndRevisions
 
-    /** The leader's claim; null: there is no leader. */
+    /** The leader's claim; null if there is no leader. */
     val leader: Claim? get() = claimCache.leader
 
     /** All known machines. */
@@ -64,58 +64,61 @@
     /** Machine types by name; empty until they are known. */
     val machineTypes: Map<String, MachineType> get() = machineCache.machineTypes
 
-    /** How many pieces the machine types are stored in. */
+    /** Number of pieces that the machine types are stored in. */
     val machineTypePieceCount: Int get() = machineCache.machineTypePieceCount
 
-    /** Processors of all machines, computed anew when [controlEpoch] has risen. */
+    /** Total CPUs of all machines, recomputed when [controlEpoch] has changed. */
     val totalCpus: Double get() = machineCache.totalCpus(controlEpoch)
 
-    /** Controllers whose lease of the state service holds. */
+    /** Registrations of the controllers whose leases have not expired. */
     val nodes: Map<NodeId, NodeRecord> get() = controllerCache.nodes
 
-    /** The newest record format that each controller has announced; absent: the oldest. */
+    /** Level of the newest record format that each controller has announced. A controller without an entry reads only the oldest. */
     val announcedFormats: Map<NodeId, Int> get() = controllerCache.announcedFormats
 
-    /** Use by team as each controller has stored it, by piece. */
+    /** Usage by team as stored by each controller, by piece. */
     val usage: Map<NodeId, Map<Int, UsageRecord>> get() = controllerCache.usage
 
-    /** Rises whenever a shard's claim, a borrowing or the set of machines changes. */
+    /** Increases whenever a claim on a shard or a borrowed machine, a machine record or a machine list changes. */
     val controlEpoch: Long get() = claimCache.epoch + machineCache.epoch
 
-    /** Rises with claims and borrowings alone: the list of machines changes several times a second while a fleet grows. */
+    /**
+     * Increases only when a claim on a shard or a borrowed machine changes. Machine lists, in contrast, change several times a
+     * second while a fleet grows.
+     */
     val claimEpoch: Long get() = claimCache.epoch
 
-    /** The job [id]; null: it is in a final stage, or not known. */
+    /** The job [id]; null if it is in a final stage, or if it is unknown. */
     fun job(id: JobId): Job? = jobCache.job(id)
 
     /** The job [id] if it is in a final stage. */
     fun finalJob(id: JobId): FinalJob? = jobCache.finalJob(id)
 
-    /** Whether the job [id] is known, in whichever stage. */
+    /** Whether the job [id] is known, in any stage. */
     fun isKnown(id: JobId): Boolean = job(id) != null || finalJob(id) != null
 
-    /** Open jobs with tasks to place, the one that has been so for longest first. */
+    /** Jobs with tasks to place, the longest-waiting first. */
     fun waitingJobs(): List<Job> = jobCache.waitingJobs()
 
-    /** Ids of the cancelled jobs that have tasks left. */
+    /** Ids of the cancelled jobs that still have placed tasks. */
     fun cancelledJobs(): List<String> = jobCache.cancelledJobs()
 
     /**
-     * Cancelled jobs without a task left, whose records are not final yet: those withdrawn with a predecessor, and large
-     * ones, of which a task may have been placed unseen until their cancellation was stored.
+     * Cancelled jobs without placed tasks, whose final records have not been written yet. These are jobs cancelled with a
+     * predecessor, and large jobs, of which a task could be placed unnoticed until their cancellation was stored.
      */
     fun finalizableJobs(): Sequence<Job> = jobCache.finalizableJobs()
 
-    /** Piece [index] of [id]'s specification; null: not known. */
+    /** Piece [index] of [id]'s specification; null if it is unknown. */
     fun specPiece(
         id: JobId,
         index: Int,
     ): String? = jobCache.specPieces.piece(id, index)
 
-    /** Numbers of the pieces of [id]'s specification. */
+    /** Numbers of the known pieces of [id]'s specification. */
     fun specPieceNumbers(id: JobId): Set<Int> = jobCache.specPieces.pieceNumbers(id)
 
-    /** The version of [key] as it is known, deletions included; 0: never seen. */
+    /** Last known version of [key], including deletions; 0 if the key was never seen. */
     fun version(key: String): Long = versions.getLong(key)
 
     /** Tasks assigned to [machine], with their attempts. */
@@ -124,26 +127,26 @@
     /** Machines that tasks are assigned to. */
     fun machinesWithTasks(): Set<MachineId> = placementIndex.machines
 
-    /** What the tasks on [machine] take. */
+    /** Resources used by the tasks on [machine]. */
     fun usedOn(machine: MachineId): Resources = placementIndex.usedOn(machine)
 
-    /** What services and production work take of [machine]; the rest of what is used can be preempted for them. */
+    /** Resources used on [machine] by services and production work, for which all other tasks can be preempted. */
     fun usedByServicesOn(machine: MachineId): Resources = placementIndex.usedByServicesOn(machine)
 
-    /** What the placed tasks of [team] take. */
+    /** Resources used by the placed tasks of [team]. */
     fun usedBy(team: String): Resources = placementIndex.usedBy(team)
 
-    /** The machines of one partition, by the pieces that its list is stored in. */
+    /** The machines of one partition, by piece of its machine list. */
     fun machineListsOf(partition: Int): Map<Int, Map<MachineId, MachineRecord>> = machineCache.listsOf(partition)
 
-    /** Notes that everything up to [revision] has been applied. */
+    /** Records that all changes up to [revision] have been applied. */
     fun advanceTo(revision: Long) {
         if (revision > this.revision) this.revision = revision
     }
 
     /**
-     * Applies one change, a deletion if [value] is null; false if it was known or out of date. An unreadable record is
-     * logged and counts as applied.
+     * Applies one change, or a deletion if [value] is null. Returns false if the change is already known or outdated. An
+     * unreadable record is logged and counts as applied.
      */
     fun apply(
         key: String,
@@ -152,9 +155,9 @@
     ): Boolean {
         if (versions.getLong(key) >= version) return false
         val subject = Keys.parse(key)
-        // A chunk seen before its job (pages of a load are not one moment) comes again with the watch.
+        // Pages of a load have different revisions. A chunk that is read before its job is received again from the watch.
         if (subject is Keys.Subject.Chunk && value != null && job(JobId(subject.id)) == null) return false
-        // A deleted key keeps its version: a late copy of an earlier write must not bring it back.
+        // The version of a deleted key is kept: a delayed copy of an earlier write must not restore the record.
         versions.put(key, version)
         if (subject == null) return true
         try {
@@ -183,7 +186,7 @@
             is Keys.Subject.Node -> controllerCache.applyNode(NodeId(subject.node), value)
             is Keys.Subject.Format -> controllerCache.applyFormat(NodeId(subject.node), value)
             is Keys.Subject.Usage -> controllerCache.applyUsage(NodeId(subject.node), subject.piece, value)
-            // Only their versions are used, by guards.
+            // Only the versions of these records are used, in guards.
             Keys.Subject.Epoch, is Keys.Subject.Team -> Unit
         }
     }
--- a/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
@@ -10,7 +10,7 @@
 import java.util.TreeMap
 
 /**
- * Machines and machine types. Every machine whose record changes is added to [changed]. The `apply` functions throw
+ * Machines and machine types. Each machine whose record changes is added to [changed]. The `apply` functions throw
  * [IllegalArgumentException] for an unreadable record.
  */
 internal class MachineCache(
@@ -22,21 +22,21 @@
     private var cachedTotalCpus = 0.0
     private var cachedTotalCpusEpoch = NOT_COMPUTED
 
-    /** All machines, from lists and from records of their own. */
+    /** All machines, from machine lists and from records of their own. */
     val machines: Map<MachineId, KnownMachine> get() = machinesById
 
     /** Machine types by name; empty until they are known. */
     var machineTypes: Map<String, MachineType> = emptyMap()
         private set
 
-    /** How many pieces the machine types are stored in. */
+    /** Number of pieces that the machine types are stored in. */
     val machineTypePieceCount: Int get() = typePieces.size
 
-    /** Rises whenever a machine's record or a list of machines changes. */
+    /** Incremented whenever a machine record or a machine list changes. */
     var epoch = 0L
         private set
 
-    /** Processors of all machines, computed anew when [controlEpoch] is not that of the last call. */
+    /** Total CPUs of all machines, recomputed when [controlEpoch] differs from that of the last call. */
     fun totalCpus(controlEpoch: Long): Double {
         if (cachedTotalCpusEpoch != controlEpoch) {
             cachedTotalCpusEpoch = controlEpoch
@@ -45,7 +45,7 @@
         return cachedTotalCpus
     }
 
-    /** A machine's own record, as earlier versions stored it, was written, or deleted if [value] is null. */
+    /** Applies a write of a machine's own record, which only earlier versions store, or its deletion if [value] is null. */
     fun applyMachine(
         id: MachineId,
         value: JsonElement?,
@@ -57,7 +57,7 @@
         changed += id
     }
 
-    /** A list of machines was written, or deleted if [value] is null. Returns the machines that are in no list any more. */
+    /** Applies a write of a machine list, or its deletion if [value] is null. Returns the machines that are no longer in any list. */
     fun applyList(
         list: Keys.Subject.MachineList,
         value: JsonElement?,
@@ -93,17 +93,17 @@
         changed += id
     }
 
-    /** A piece of the list of machine types was written, or deleted if [value] is null. */
+    /** Applies a write of a piece of the machine types, or its deletion if [value] is null. */
     fun applyTypes(
         piece: Int,
         value: JsonElement?,
     ) {
         typePieces.applyRecord(piece, value, MachineTypePieces::decode)
-        // Types stay known while their records are replaced.
+        // The types stay known while their records are being replaced.
         if (typePieces.isNotEmpty()) machineTypes = typePieces.values.flatten().associateBy { it.name }
     }
 
-    /** The machines of one partition, by the pieces that its list is stored in. */
+    /** The machines of one partition, by piece of its machine list. */
     fun listsOf(partition: Int): Map<Int, Map<MachineId, MachineRecord>> =
         idsByList.filterKeys { it.partition == partition }.entries.associate { (list, ids) -> list.piece to recordsOf(ids) }
 
--- a/src/main/kotlin/mintpick/engine/cache/MachineTypePieces.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineTypePieces.kt
@@ -5,16 +5,16 @@
 import mintpick.wire.MachineType
 import mintpick.wire.WireJson
 
-/** Encoding of the list of machine types, which is stored in several records once it outgrows a value. */
+/** Encoding of the machine types, which are stored in several records (pieces) if they are too large for one value. */
 object MachineTypePieces {
     private val SERIALIZER = ListSerializer(MachineType.serializer())
 
-    /** The types in one record; throws [IllegalArgumentException] if [value] is not a list of types. */
+    /** Decodes the types in one record; throws [IllegalArgumentException] if [value] is not a list of types. */
     fun decode(value: JsonElement): List<MachineType> = WireJson.decodeFromJsonElement(SERIALIZER, value)
 
     /**
-     * [types] in as few records as fit into values of [valueBytes] each, where a type larger than that has a record of its
-     * own. One record, whatever its size, if [asSingleRecord].
+     * Encodes [types], in this order, into as few records as possible of at most [valueBytes] each. A type that is larger than
+     * that gets a record of its own. If [asSingleRecord] is set, all types are encoded into one record, regardless of its size.
      */
     fun encode(
         types: List<MachineType>,
--- a/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
+++ b/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
@@ -10,8 +10,8 @@
 import mintpick.core.isService
 
 /**
- * Where the tasks of all jobs are placed and what they take, by machine and by team. Every machine whose tasks change is
- * added to [changed].
+ * Index of the placed tasks of all jobs and of the resources that they use, by machine and by team. Each machine whose tasks
+ * change is added to [changed].
  */
 internal class PlacementIndex(
     private val changed: MutableSet<MachineId>,
@@ -32,19 +32,19 @@
     /** Tasks assigned to [machine], with their attempts. */
     fun tasksOn(machine: MachineId): Map<TaskId, Int> = loads[machine]?.tasks ?: emptyMap()
 
-    /** What the tasks on [machine] take. */
+    /** Resources used by the tasks on [machine]. */
     fun usedOn(machine: MachineId): Resources = loads[machine]?.used ?: Resources.ZERO
 
-    /** What services and production work take of [machine]. */
+    /** Resources used on [machine] by services and production work. */
     fun usedByServicesOn(machine: MachineId): Resources = loads[machine]?.usedByServices ?: Resources.ZERO
 
-    /** What the placed tasks of [team] take. */
+    /** Resources used by the placed tasks of [team]. */
     fun usedBy(team: String): Resources = usedByTeam[team] ?: Resources.ZERO
 
     /** Adds the placements of [job]. */
     fun add(job: Job) = account(job, 1)
 
-    /** Removes the placements of [job], as they were when they were added. */
+    /** Removes the placements of [job], which must be the same as when they were added. */
     fun remove(job: Job) = account(job, -1)
 
     private fun account(
@@ -59,7 +59,7 @@
             val load = loads.getOrPut(placement.machine) { MachineLoad() }
             load.accountTask(TaskId(job.id, task), placement, sign)
             if (load.tasks.isEmpty()) {
-                // Dropped with the last task, so that rounding errors of sums do not stay.
+                // Removed with the last task, so that rounding errors of the sums do not persist.
                 loads.remove(placement.machine)
                 continue
             }
--- a/src/main/kotlin/mintpick/engine/cache/RecordMaps.kt
+++ b/src/main/kotlin/mintpick/engine/cache/RecordMaps.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.JsonElement
 
-/** Stores the record [value] under [key], or removes what is stored there if the record was deleted. */
+/** Stores the decoded record [value] under [key], or removes the entry if [value] is null, because the record was deleted. */
 internal inline fun <K, V> MutableMap<K, V>.applyRecord(
     key: K,
     value: JsonElement?,
--- a/src/main/kotlin/mintpick/engine/cache/SpecPieceCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/SpecPieceCache.kt
@@ -7,14 +7,14 @@
 import mintpick.wire.JobSpec
 import java.util.TreeMap
 
-/** Specifications that are stored in pieces of their own, since they are too large for their jobs' main records. */
+/** Specifications that are stored in separate pieces, because they are too large for the main records of their jobs. */
 internal class SpecPieceCache {
     private val piecesByJob = HashMap<JobId, TreeMap<Int, String>>()
 
-    /** Jobs with stored pieces, whether there is such a job or not. */
+    /** Ids with stored pieces, whether or not a job record exists. */
     val jobs: Set<JobId> get() = piecesByJob.keys
 
-    /** Piece [index] of [job]'s specification; null: not known. */
+    /** Piece [index] of [job]'s specification; null if it is unknown. */
     fun piece(
         job: JobId,
         index: Int,
@@ -23,7 +23,7 @@
     /** Numbers of the known pieces of [job]'s specification. */
     fun pieceNumbers(job: JobId): Set<Int> = piecesByJob[job]?.keys.orEmpty()
 
-    /** The specification of [job] in [count] pieces; null: they are not all known, or there are none. */
+    /** Joins the [count] pieces of [job]'s specification; null if not all of them are known, or if [count] is 0. */
     fun join(
         job: JobId,
         count: Int,
@@ -33,7 +33,7 @@
         return SpecPieces.join(pieces.values)
     }
 
-    /** A piece was written, or deleted if [value] is null; throws [IllegalArgumentException] if it is no text. */
+    /** Applies a write of a piece, or its deletion if [value] is null; throws [IllegalArgumentException] if it is not a text. */
     fun apply(
         job: JobId,
         piece: Int,
--- a/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
@@ -13,7 +13,7 @@
 import mintpick.wire.StoredStage
 import mintpick.wire.WireJson
 
-/** Status codes of the answers to users. */
+/** HTTP status codes of answers to users. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -24,20 +24,20 @@
     const val UNAVAILABLE = 503
 }
 
-/** Answers to users about one job, from its records. Event-loop thread only. */
+/** Builds and sends answers about single jobs from their cached records. Event-loop thread only. */
 class JobAnswers(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
 ) {
     private val cache get() = context.cache
 
-    /** The job's stage as the records show it; null if they do not know it. */
+    /** The stage of job [id] in the cached records; null if the job is unknown. */
     fun stage(id: JobId): JobStage? = status(id)?.stage
 
-    /** The stage of a job that is over; null for all others. */
+    /** The stage in the final record of job [id]; null if it has none. */
     fun finalStage(id: JobId): JobStage? = cache.finalJob(id)?.let { it.stage.asJobStage() }
 
-    /** Answers with [stage]. */
+    /** Sends an answer with the job's [stage]. */
     fun sendStage(
         id: JobId,
         stage: JobStage,
@@ -48,13 +48,13 @@
         context.send(reply, Answer.json(status, body))
     }
 
-    /** Answers with the job's stage once the records are current. */
+    /** Sends the job's stage after the cache has caught up with the state store. */
     fun sendCurrentStage(
         id: JobId,
         reply: ReplyTo,
     ) = sendCurrentStageOr(id, reply) { unavailable("not decided") }
 
-    /** Answers with the job's stage once the records are current, or with [otherwise] if they do not know it. */
+    /** Sends the job's stage after the cache has caught up with the state store, or [otherwise] if the job is unknown. */
     fun sendCurrentStageOr(
         id: JobId,
         reply: ReplyTo,
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Answers with the job's progress as the records show it. */
+    /** Sends the job's progress from the cached records, or 404 if the job is unknown. */
     fun sendStatus(
         id: JobId,
         reply: ReplyTo,
@@ -84,13 +84,13 @@
     /** The answer for a job that was never accepted. */
     fun noSuchJob(): Answer = errorAnswer(HttpStatus.NOT_FOUND, "no such job")
 
-    /** The answer while the state service can't be used. */
+    /** The answer while the state store is unavailable. */
     fun stateStoreUnavailable(): Answer = unavailable("the state service does not answer")
 
-    /** An answer that has the user ask again in a moment. */
+    /** A 503 answer that asks the client to retry after [RETRY_AFTER_S] seconds. */
     fun unavailable(message: String): Answer = errorAnswer(HttpStatus.UNAVAILABLE, message, RETRY_AFTER_S)
 
-    /** The answer to a submission beyond what can be stored in time. */
+    /** The answer to a submission that can't be stored in time, because too many others are pending. */
     fun tooManySubmissions(): Answer = errorAnswer(HttpStatus.TOO_MANY_REQUESTS, "too many submissions", RETRY_AFTER_S)
 
     private fun status(id: JobId): JobStatus? {
--- a/src/main/kotlin/mintpick/engine/jobs/JobAvailability.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobAvailability.kt
@@ -5,16 +5,19 @@
 import mintpick.core.SECOND
 import mintpick.engine.runtime.EngineContext
 
-/** Which jobs may be planned: those without a transaction in flight, whose records are current. Event-loop thread only. */
+/**
+ * Tracks which jobs may be planned: those that no transaction in flight writes and whose cached records are current.
+ * Event-loop thread only.
+ */
 internal class JobAvailability(
     private val context: EngineContext,
 ) {
     private val inFlight = HashSet<JobId>()
 
-    /** Jobs whose records are known to have changed, with the revision that the watch has to reach first. */
+    /** Jobs whose cached records are known to be outdated, with the revision that the watch must reach before they are planned again. */
     private val outdatedUntilRevision = HashMap<JobId, Long>()
 
-    /** Jobs whose update the state service found too large, until when they are not planned again. */
+    /** Jobs whose update was too large for the state store, with the time until which they are not planned again. */
     private val oversizedUntilUs = HashMap<JobId, Micros>()
 
     /** Whether [job] may be planned now. */
@@ -26,17 +29,17 @@
         return true
     }
 
-    /** A transaction that writes [jobs] is in flight. */
+    /** Marks [jobs] as written by a transaction in flight. */
     fun markInFlight(jobs: Collection<JobId>) {
         inFlight += jobs
     }
 
-    /** The outcome of the transaction that writes [jobs] is known, or known to stay unknown. */
+    /** Removes the mark from [jobs]: the transaction that writes them has committed, failed or ended with an unknown outcome. */
     fun clearInFlight(jobs: Collection<JobId>) {
         inFlight -= jobs.toSet()
     }
 
-    /** [job] conflicted with a change that the records show at [revision]. */
+    /** Makes [job] unavailable until the cache has reached [revision], which contains the change that [job] conflicted with. */
     fun waitForRevision(
         job: JobId,
         revision: Long,
@@ -44,7 +47,7 @@
         outdatedUntilRevision[job] = revision
     }
 
-    /** An update of [job] alone was too large. */
+    /** Makes [job] unavailable for [OVERSIZED_PAUSE]: its update was too large even in a separate transaction. */
     fun pauseOversized(job: JobId) {
         oversizedUntilUs.values.removeIf { it < context.now }
         oversizedUntilUs[job] = context.now + OVERSIZED_PAUSE
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdatePartBuilder.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdatePartBuilder.kt
@@ -14,20 +14,20 @@
 import mintpick.wire.Guard
 import mintpick.wire.StoredStage
 
-/** Builds the guards and writes that store drafts of job updates. Sends nothing. Event-loop thread only. */
+/** Builds the transaction parts that store drafts of job updates. Event-loop thread only. */
 internal class JobUpdatePartBuilder(
     context: EngineContext,
     private val formats: RecordFormatNegotiator,
     private val specStorage: SpecStorage,
     private val pendingRequests: PendingRequests,
 ) {
-    /** Teams with a limit: their placements raise a reservation. */
+    /** Teams with a limit. Placements of these teams raise the team's reservation. */
     private val limitedTeams: Set<String> =
         context.settings.teams
             .filter { it.cpusMax > 0 || it.gpusMax > 0 }
             .mapTo(HashSet()) { it.name }
 
-    /** What stores [draft], or pieces of its specification if they have to be stored before it. */
+    /** A part that stores [draft], or pieces of the job's specification if they must be stored first. */
     fun build(draft: JobUpdate): TransactionPart = specStorage.buildWithinValueLimit(draft.before, draft.job) { job -> partOf(draft, job) }
 
     private fun partOf(
@@ -53,7 +53,7 @@
     ): Set<Guard> {
         val guards = LinkedHashSet<Guard>()
         guards += Guard(Keys.job(job.id.text), draft.before.version)
-        // Once the main record refers to the pieces nobody writes them any more.
+        // Pieces are guarded only in the transaction that makes the main record refer to them: they never change after it.
         if (job.specPieces != draft.before.specPieces) guards += specStorage.pieceGuards(job)
         for (index in changedChunks) {
             if (index != MAIN_CHUNK) guards += Guard(Keys.chunk(job.id.text, index), draft.before.chunk(index).version)
@@ -90,7 +90,7 @@
         return Write(Keys.chunk(job.id.text, index), value)
     }
 
-    /** How [job] has ended; null if it goes on. */
+    /** The final stage of [job]; null if it has not ended. */
     private fun finalStage(
         draft: JobUpdate,
         job: Job,
@@ -105,8 +105,9 @@
     }
 
     /**
-     * Placements of one chunk do not conflict with changes of another, so a cancellation may be planned before one of them is
-     * known. Once it is stored, no more can be placed, and what was placed before it is known with it.
+     * Whether [draft] was planned with all placements of the job known. Placements in one chunk don't conflict with changes
+     * in another, so a cancellation may be planned before the cache shows all of them. After the cancellation is stored no
+     * further task can be placed, and a cache that shows the cancellation also shows all earlier placements.
      */
     private fun seesAllPlacements(draft: JobUpdate): Boolean = draft.before.chunkCount == 1 || draft.before.stage == StoredStage.CANCELLED
 
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdateWriter.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdateWriter.kt
@@ -11,9 +11,8 @@
 import mintpick.engine.transactions.TransactionLimits
 
 /**
- * Stores submissions and drafts of job updates by compare-and-swap: plans them as guarded writes
- * ([SubmissionPartBuilder], [JobUpdatePartBuilder], [WriteArbiter]) and has them sent ([TransactionSender]).
- * Event-loop thread only.
+ * Stores submissions and drafts of job updates by compare-and-swap. [SubmissionPartBuilder] and [JobUpdatePartBuilder]
+ * turn them into guarded writes, [WriteArbiter] prioritizes these and [TransactionSender] sends them. Event-loop thread only.
  */
 class JobUpdateWriter(
     context: EngineContext,
@@ -21,7 +20,7 @@
     pendingRequests: PendingRequests,
     commandPlanner: CommandPlanner,
     formats: RecordFormatNegotiator,
-    /** What one transaction holds. */
+    /** Size limits of one transaction. */
     val limits: TransactionLimits,
 ) {
     private val specStorage = SpecStorage(context, formats, limits)
@@ -30,35 +29,38 @@
     private val jobUpdatePartBuilder = JobUpdatePartBuilder(context, formats, specStorage, pendingRequests)
     private val writeArbiter = WriteArbiter(context, pendingRequests)
 
-    /** Writes that drafts leave for the next submissions, for which users wait. */
+    /** Writes reserved for submissions, because users are waiting for them. Drafts leave these writes unused. */
     private val writesForSubmissions =
         (context.settings.limits.writeRps / (context.settings.peers.size + 1) * SUBMISSION_WRITE_SHARE)
             .toInt()
 
-    /** Whether at least one transaction may leave now. */
+    /** Whether at least one transaction may be sent now. */
     val canSend: Boolean get() = sender.canSend
 
-    /** Whether [job] may be planned: nothing of it is in flight, and its records are current. */
+    /** Whether [job] may be planned: no transaction in flight writes it, and its cached records are current. */
     fun isAvailable(job: JobId): Boolean = sender.availability.isAvailable(job)
 
-    /** Resources of [machine] that placements in flight take: the records do not show them yet. */
+    /** Resources of [machine] taken by placements in flight, which the cached records do not show yet. */
     fun reservedOn(machine: MachineId): Resources = sender.reservations.reservedOn(machine)
 
-    /** Whether no placement of [team] that raises its reservation is in flight; always true for a team without a limit. */
+    /**
+     * Whether tasks of [team] may be placed: no transaction in flight raises the team's reservation. Always true for a team
+     * without a limit.
+     */
     fun isTeamAvailable(team: String): Boolean = sender.isTeamAvailable(team)
 
-    /** How many writes drafts may use now. */
+    /** Number of writes that drafts may use now. */
     fun writeBudget(): Int = if (canSend) stateStore.writesAllowed() - writesForSubmissions else 0
 
     /**
-     * Sends pending submissions and then [drafts], as far as the limits allow. While placements wait for writes
-     * ([arePlacementsWaiting]) they alternate with the other drafts. Returns whether a placement found no write.
+     * Sends pending submissions and then [drafts] within the write limits. While placements are waiting for writes
+     * ([arePlacementsWaiting]), they alternate with status updates. Returns whether at least one placement was not sent.
      */
     fun commit(
         drafts: Collection<JobUpdate>,
         arePlacementsWaiting: Boolean,
     ): Boolean {
-        // In transactions of their own: conflicts of drafts must not hold submissions up.
+        // Submissions get separate transactions, so that conflicts of drafts don't delay them.
         sender.send(submissionPartBuilder.build(), reservedWrites = 0)
         val parts = drafts.filter { it.hasChanges }.map(jobUpdatePartBuilder::build)
         val allowed = if (arePlacementsWaiting) writeArbiter.prioritize(parts) else parts
--- a/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
@@ -10,17 +10,19 @@
 import mintpick.dependencies.Urgency
 import mintpick.engine.runtime.EngineContext
 
-/** How urgent jobs are by their own deadlines and priorities and by those of their successors. Event-loop thread only. */
+/**
+ * Computes the urgency of jobs from their own priorities and deadlines and from those of their successors. Event-loop thread only.
+ */
 class JobUrgency(
     private val context: EngineContext,
 ) {
     private var cache = context.cache
     private var criticalPaths = newCriticalPaths()
 
-    /** When each released job was first seen to be so, time of day. */
+    /** Wall-clock time at which this controller first saw that all predecessors of a job are done. */
     private val releasedSinceUs = HashMap<JobId, Micros>()
 
-    /** The urgency of [job]; its latest start is a time of day. */
+    /** The urgency of [job]. Its latest start is a wall-clock time. */
     fun of(job: Job): Urgency {
         resetIfCacheReplaced()
         val hasSuccessors =
@@ -32,8 +34,8 @@
     }
 
     /**
-     * Time of day since when nothing but machines holds [job] back: its submission, or, as far as this controller has
-     * seen it wait for others, the moment when the last of those was done.
+     * Wall-clock time since which [job] has been waiting for machines only: the time of its submission or, if it has
+     * predecessors, the time at which this controller first saw that all of them are done.
      */
     fun readySinceUs(job: Job): Micros {
         if (job.spec.predecessorIds.isEmpty()) return job.submittedUs
@@ -41,7 +43,7 @@
         return releasedSinceUs.getOrPut(job.id) { context.wallClockUs }
     }
 
-    /** The records may have been read anew, with a new graph. */
+    /** Starts over after a reload of the records, which replaces the cache and its dependency graph. */
     private fun resetIfCacheReplaced() {
         if (cache === context.cache) return
         cache = context.cache
@@ -60,7 +62,7 @@
     private fun JobRequirements.ownUrgency() = Urgency(priority, deadlineUs?.minus(expectedRunUs))
 
     private companion object {
-        /** Beyond it jobs that are over are forgotten. */
+        /** Above this number of entries, those of jobs that have ended are removed. */
         const val MAX_RELEASED_JOBS = 2_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/MachineReservations.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/MachineReservations.kt
@@ -4,17 +4,17 @@
 import mintpick.core.Resources
 import mintpick.engine.transactions.MachineDemand
 
-/** Resources of machines that placements in flight take: the records do not show them yet. Event-loop thread only. */
+/** Resources of machines taken by placements in flight, which the cached records do not show yet. Event-loop thread only. */
 internal class MachineReservations {
     private val reserved = HashMap<MachineId, Resources>()
 
-    /** What is reserved on [machine]. */
+    /** Resources reserved on [machine]. */
     fun reservedOn(machine: MachineId): Resources = reserved[machine] ?: Resources.ZERO
 
-    /** Reserves what placements take that have been sent. */
+    /** Reserves the resources of placements that have been sent. */
     fun reserve(demands: List<MachineDemand>) = demands.forEach { set(it.machine, reservedOn(it.machine) + it.demand) }
 
-    /** Releases what placements took whose outcome is known, or known to stay unknown. */
+    /** Releases the resources of placements whose transaction has committed, failed or ended with an unknown outcome. */
     fun release(demands: List<MachineDemand>) = demands.forEach { set(it.machine, reservedOn(it.machine) - it.demand) }
 
     private fun set(
--- a/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
@@ -12,31 +12,31 @@
 import mintpick.wire.JobStage
 import mintpick.wire.StoredStage
 
-/** A request that waits to be stored, with all who wait for its answer. */
+/** A user request that has not been stored yet, with the reply handles of all users waiting for its answer. */
 sealed class PendingRequest(
-    /** When the first of its users asked. */
+    /** When the first request was received, on the monotonic clock. */
     val receivedUs: Micros,
 ) {
-    /** Who waits for the answer, in the order in which they asked. */
+    /** Reply handles, in the order in which the requests were received. */
     val replies = ArrayList<ReplyTo>()
 
-    /** Whether a transaction that stores it is in flight. */
+    /** Whether a transaction that stores the request is in flight. */
     var isInFlight = false
 }
 
-/** A submission that waits to be stored. */
+/** A submission that has not been stored yet. */
 class PendingSubmission(
-    /** What was submitted first under its id. */
+    /** The specification that was submitted first under this id. */
     val spec: JobSpec,
     receivedUs: Micros,
 ) : PendingRequest(receivedUs)
 
-/** A cancellation that waits to be stored. */
+/** A cancellation that has not been stored yet. */
 class PendingCancellation(
     receivedUs: Micros,
 ) : PendingRequest(receivedUs)
 
-/** The users' requests that wait to be stored, until each is answered once. Event-loop thread only. */
+/** Submissions and cancellations that have not been stored yet. Each request is answered exactly once. Event-loop thread only. */
 class PendingRequests(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
@@ -46,20 +46,23 @@
     private val cancellationsById = LinkedHashMap<JobId, PendingCancellation>()
     private val cache get() = context.cache
 
-    /** Submissions, the oldest first. */
+    /** Pending submissions by job, oldest first. */
     val submissions: Map<JobId, PendingSubmission> get() = submissionsById
 
-    /** Cancellations, the oldest first. */
+    /** Pending cancellations by job, oldest first. */
     val cancellations: Map<JobId, PendingCancellation> get() = cancellationsById
 
-    /** What can be stored soon; more would only wait for an answer that can't come in time, so it is refused at once. */
+    /**
+     * Number of submissions that can be stored before they time out. Further submissions are refused immediately, because
+     * they could not be answered in time.
+     */
     private val maxSubmissions =
         maxOf(MIN_SUBMISSIONS, (context.settings.limits.writeRps / (context.settings.peers.size + 1) * MAX_QUEUE_S).toInt())
 
-    /** Whether as many submissions wait as can be stored in time. */
+    /** Whether a further submission could not be stored in time. */
     val isFull: Boolean get() = submissionsById.size >= maxSubmissions
 
-    /** Adds a submission; a repeated one waits with the first. */
+    /** Adds a submission. A repeated submission is stored and answered together with the first one. */
     fun addSubmission(
         spec: JobSpec,
         reply: ReplyTo,
@@ -67,7 +70,7 @@
         submissionsById.getOrPut(JobId(spec.id)) { PendingSubmission(spec, context.now) }.replies += reply
     }
 
-    /** Adds a cancellation; a repeated one waits with the first. */
+    /** Adds a cancellation. A repeated cancellation is stored and answered together with the first one. */
     fun addCancellation(
         id: JobId,
         reply: ReplyTo,
@@ -75,15 +78,18 @@
         cancellationsById.getOrPut(id) { PendingCancellation(context.now) }.replies += reply
     }
 
-    /** Answers what has been decided meanwhile, and refuses what has waited too long. */
+    /**
+     * Answers requests whose result is already in the cached records. Refuses requests that have waited too long, and all
+     * other requests while the state store is unreachable. Requests in flight stay pending.
+     */
     fun answerDecidedOrExpired() {
         answerDecidedOrExpired(submissionsById) { id -> cache.isKnown(id) }
         answerDecidedOrExpired(cancellationsById) { id -> cache.finalJob(id) != null || cache.job(id)?.stage == StoredStage.CANCELLED }
     }
 
-    /** The submission of [id] is stored: the first to submit it hears that it was created. */
+    /** Answers the submission of [id], which has been stored: with 201 for the first request and 200 for repeated ones. */
     fun onSubmissionStored(id: JobId) {
-        // The answer to the write may come after the watch has shown what became of the job.
+        // The write may be answered after the watch has already delivered later changes of the job.
         val stage = answers.stage(id) ?: JobStage.QUEUED
         submissionsById.remove(id)?.replies?.forEachIndexed { index, reply ->
             val status = if (index == 0) HttpStatus.CREATED else HttpStatus.OK
@@ -91,18 +97,21 @@
         }
     }
 
-    /** The cancellation of [id] is stored. */
+    /** Answers the cancellation of [id], which has been stored. */
     fun onCancellationStored(id: JobId) {
         cancellationsById.remove(id)?.replies?.forEach { answers.sendStage(id, JobStage.CANCELLED, it) }
     }
 
-    /** Follows the transaction that stores the submission [pending] of [id]. */
+    /** Creates the listener of a transaction that stores [pending], the submission of [id]. */
     internal fun submissionListener(
         id: JobId,
         pending: PendingSubmission,
     ): TransactionListener = InFlightListener({ pending }) { onSubmissionStored(id) }
 
-    /** Follows a transaction that stores the cancellation of [id], which may be asked for only after it has been sent. */
+    /**
+     * Creates the listener of a transaction that stores the cancellation of [id]. It looks the request up on each
+     * notification, because the user's request may arrive after the transaction has been sent.
+     */
     internal fun cancellationListener(id: JobId): TransactionListener =
         InFlightListener({ cancellationsById[id] }) { onCancellationStored(id) }
 
@@ -142,10 +151,10 @@
     private companion object {
         const val MIN_SUBMISSIONS = 8
 
-        /** Seconds of writes that the queue of submissions may hold. */
+        /** Maximum length of the submission queue, as the number of seconds needed to write it. */
         const val MAX_QUEUE_S = 2.5
 
-        /** Below the users' own timeout, so that the refusal reaches them. */
+        /** Shorter than the users' own timeout, so that they receive the refusal. */
         const val MAX_WAIT: Micros = 3 * SECOND + 500 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/RecordSweeper.kt
@@ -11,8 +11,8 @@
 import mintpick.wire.Guard
 
 /**
- * Removes records that nothing refers to any more: specifications in separate records of jobs that are over, or whose
- * submission was never finished. Housekeeping only, which waits until there are writes to spare. Event-loop thread only.
+ * Deletes records that are no longer referenced: separately stored specifications of jobs that have ended or whose
+ * submission was never completed. Has low priority and runs only when writes are left over. Event-loop thread only.
  */
 class RecordSweeper(
     private val context: EngineContext,
@@ -20,14 +20,14 @@
     private val shardClaims: ShardClaims,
     private val pendingRequests: PendingRequests,
 ) {
-    /** Since when each separate specification has been without an open job. */
+    /** When each separately stored specification was first seen without an open job. */
     private val unusedSinceUs = HashMap<JobId, Micros>()
     private var nextSweepUs: Micros = 0
     private var isRemoving = false
 
     private val cache get() = context.cache
 
-    /** Removes the records of at most one job. */
+    /** Deletes unused records of at most one job, if a sweep is due. */
     fun tick() {
         if (!stateStore.isServing || !stateStore.isReachable || context.now < nextSweepUs) return
         nextSweepUs = context.now + SWEEP_INTERVAL
@@ -46,7 +46,10 @@
         return context.now - sinceUs > retention(job) && shardClaims.preferredController(job) == context.self
     }
 
-    /** A user who did not hear of the acceptance may submit the same job again for a minute. */
+    /**
+     * How long the specification of [job] is kept while it is unused. A user who did not receive the answer to a submission
+     * may repeat the submission for up to a minute.
+     */
     private fun retention(job: JobId): Micros = if (cache.finalJob(job) == null) UNFINISHED_RETENTION else FINAL_RETENTION
 
     private fun remove(job: JobId) {
@@ -58,7 +61,7 @@
                 .take(context.settings.limits.transactionOps)
                 .map { Keys.spec(job.text, it) }
         isRemoving = true
-        // The job may have been stored by another controller at this moment: then nothing is removed.
+        // Another controller may be storing the job at the same time: then the guards fail and nothing is deleted.
         val guards = (keys + Keys.job(job.text)).map { Guard(it, cache.version(it)) }
         stateStore.transact(guards, keys.map { Write(it, null) }) { isRemoving = false }
     }
@@ -68,7 +71,7 @@
         const val FINAL_RETENTION: Micros = 2 * SECOND
         const val UNFINISHED_RETENTION: Micros = 120 * SECOND
 
-        /** Writes that must be allowed beyond what others use before anything is removed. */
+        /** Number of writes that other components must have left unused before records are deleted. */
         const val MIN_SPARE_WRITES = 3
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
@@ -12,8 +12,8 @@
 import mintpick.wire.Guard
 
 /**
- * Specifications that are too large for a main record are stored in separate records: as pieces, all of which are stored
- * before the main record refers to them. Event-loop thread only.
+ * Stores specifications that are too large for a job's main record in separate records. Such a specification is split into
+ * pieces, all of which are stored before the main record refers to them. Event-loop thread only.
  */
 internal class SpecStorage(
     private val context: EngineContext,
@@ -23,9 +23,11 @@
     private val cache get() = context.cache
 
     /**
-     * What to write so that a job becomes [after], built by [build], with values that fit into the state service as far as
-     * possible: with its specification where it is if that fits, otherwise the missing pieces of the specification of
-     * [before], and once they are stored with a main record that refers to them.
+     * Builds the next part that is needed to change a job from [before] to [after], with values that the state store accepts
+     * where possible:
+     * - the part that [build] returns for [after], if its values are small enough;
+     * - otherwise the pieces of the specification that are not stored yet;
+     * - if all pieces are stored, the part that [build] returns for [after] with a main record that refers to the pieces.
      */
     fun buildWithinValueLimit(
         before: Job,
@@ -37,26 +39,35 @@
         return missingPieces(before) ?: build(withSeparateSpec(after))
     }
 
-    /** The pieces as they are known: another submission of the same id must not mix with them. */
+    /**
+     * Guards that require the pieces of [job] to be unchanged. They prevent a mix with pieces of another submission under the
+     * same id.
+     */
     fun pieceGuards(job: Job): Set<Guard> =
         (0 until job.specPieces).mapTo(LinkedHashSet()) { index ->
             val key = Keys.spec(job.id.text, index)
             Guard(key, cache.version(key))
         }
 
-    /** As many missing pieces as one transaction holds; null if none is missing, or [job] keeps its specification where it is. */
+    /**
+     * A part with the missing pieces that one transaction can hold. Null if no piece is missing, or if the specification of
+     * [job] can't be moved to separate records.
+     */
     private fun missingPieces(job: Job): TransactionPart? {
         if (!isSeparable(job)) return null
         val missing = pieces(job).withIndex().filter { (index, text) -> cache.specPiece(job.id, index) != text }
         if (missing.isEmpty()) return null
         val writes = missing.take(limits.maxChanges).map { (index, text) -> Write(Keys.spec(job.id.text, index), SpecPieces.json(text)) }
-        // Late copies of these writes fail once the main record refers to the pieces, or the job has changed otherwise.
+        // The guard makes a delayed copy of this transaction fail if the job has changed since, or now refers to the pieces.
         return TransactionPart(job.id, setOf(Guard(Keys.job(job.id.text), job.version)), writes)
     }
 
     private fun withSeparateSpec(job: Job): Job = if (isSeparable(job)) job.with(specPieces = pieces(job).size) else job
 
-    /** The oldest format has no separate specifications. */
+    /**
+     * Whether the specification of [job] can be moved to separate records: it is still in the main record, and the record
+     * format is not the oldest one, which does not support separate specifications.
+     */
     private fun isSeparable(job: Job): Boolean = job.specPieces == 0 && formats.current != RecordFormat.VERBOSE
 
     private fun pieces(job: Job): List<String> = SpecPieces.split(job.spec, formats.maxValueBytes)
--- a/src/main/kotlin/mintpick/engine/jobs/SubmissionPartBuilder.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SubmissionPartBuilder.kt
@@ -12,7 +12,7 @@
 import mintpick.wire.Guard
 import mintpick.wire.StoredStage
 
-/** Builds the first records of submitted jobs. Sends nothing. Event-loop thread only. */
+/** Builds the transaction parts that store the first records of submitted jobs. Event-loop thread only. */
 internal class SubmissionPartBuilder(
     private val context: EngineContext,
     private val formats: RecordFormatNegotiator,
@@ -20,13 +20,13 @@
     private val pendingRequests: PendingRequests,
     private val availability: JobAvailability,
 ) {
-    /** What stores the pending submissions that are not in flight, the oldest first. */
+    /** Parts that store the pending submissions that are not in flight, oldest first. */
     fun build(): List<TransactionPart> =
         pendingRequests.submissions
             .filter { (id, pending) -> !pending.isInFlight && availability.isAvailable(id) && !context.cache.isKnown(id) }
             .map { (id, pending) -> partOf(id, pending) }
 
-    /** The main record of a submission, or pieces of its specification if they have to be stored before it. */
+    /** A part with the main record of a submission, or with pieces of its specification if they must be stored first. */
     private fun partOf(
         id: JobId,
         pending: PendingSubmission,
--- a/src/main/kotlin/mintpick/engine/jobs/SubmissionValidator.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SubmissionValidator.kt
@@ -14,20 +14,20 @@
 import mintpick.store.SpecPieces
 import mintpick.wire.JobSpec
 
-/** Whether a submission may be stored. */
+/** The result of validating a submission. */
 sealed interface AdmissionResult {
-    /** It may be stored. */
+    /** The submission may be stored. */
     data object Accepted : AdmissionResult
 
-    /** It is refused for good: the job can never run. */
+    /** The submission is refused permanently, because the job can never run. */
     data class Rejected(
         val reason: RejectionReason,
     ) : AdmissionResult
 
-    /** It names predecessors, which a controller of an older version would ignore. */
+    /** The job has predecessors, but at least one controller may still run an older version, which ignores them. */
     data object DependenciesNotSupportedYet : AdmissionResult
 
-    /** The records of this controller do not show these predecessors. */
+    /** These predecessors are missing from the records cached by this controller. */
     data class UnknownPredecessors(
         val jobs: List<JobId>,
     ) : AdmissionResult
@@ -35,7 +35,7 @@
 
 /** Why a job can never run. */
 enum class RejectionReason(
-    /** The text of the answer. */
+    /** The text of the answer to the user. */
     val text: String,
 ) {
     UNKNOWN_TEAM("unknown team"),
@@ -44,7 +44,7 @@
     ABOVE_TEAM_LIMIT("needs more than the team's limit"),
 }
 
-/** Checks submissions against the settings, the machine types and what the records can hold. Event-loop thread only. */
+/** Validates submissions against the settings, the machine types and the size limits of records. Event-loop thread only. */
 class SubmissionValidator(
     private val context: EngineContext,
     private val formats: RecordFormatNegotiator,
@@ -52,7 +52,7 @@
 ) {
     private val cache get() = context.cache
 
-    /** Whether [spec] may be stored, as far as the records of this controller show it. */
+    /** Checks whether [spec] may be stored, according to the records cached by this controller. */
     fun validate(spec: JobSpec): AdmissionResult {
         val reason = rejectionReason(spec)
         return when {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Whether the records of this controller show all predecessors of [spec]. */
+    /** Checks whether the records cached by this controller contain all predecessors of [spec]. */
     fun checkPredecessors(spec: JobSpec): AdmissionResult {
         val unknown = spec.predecessorIds.filterNot(cache::isKnown)
         return if (unknown.isEmpty()) AdmissionResult.Accepted else AdmissionResult.UnknownPredecessors(unknown)
@@ -87,7 +87,7 @@
                 spec.demand.fits(type.capacity)
         }
 
-    /** Whether the specification fits into as many records as one transaction can guard together. */
+    /** Whether the specification can be stored in records that one transaction can guard together. */
     private fun canBeStored(spec: JobSpec): Boolean {
         val nameCount = spec.predecessors.orEmpty().size + spec.types.orEmpty().size
         if (nameCount < MIN_NAMES_TO_MEASURE) return true
@@ -95,7 +95,7 @@
         return if (formats.allowsDependencies) pieces < limits.maxGuards - 1 else pieces <= 1
     }
 
-    /** Services and gangs need all their tasks at once, other jobs at least one. */
+    /** Whether the job can never run within the team's limit. Services and gangs need all their tasks at once, other jobs at least one. */
     private fun exceedsLimit(
         spec: JobSpec,
         team: PlatformFile.TeamEntry,
@@ -107,7 +107,7 @@
     }
 
     private companion object {
-        /** A specification with fewer names always fits. */
+        /** A specification with fewer names always fits, so its size is not computed. */
         const val MIN_NAMES_TO_MEASURE = 50
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Batches parts into transactions, sends as many as the limits allow, a few at a time, and handles their outcomes.
- * Event-loop thread only.
+ * Batches parts into transactions, sends these within the limits on writes and on transactions in flight, and handles their
+ * outcomes. Event-loop thread only.
  */
 internal class TransactionSender(
     private val context: EngineContext,
@@ -43,28 +43,28 @@
     private val cache get() = context.cache
     private val limitedTeamsInFlight = HashSet<String>()
 
-    /** Until when each job gets a transaction of its own, since several together were too large. */
+    /** Until when each job gets a separate transaction, because a transaction with several jobs was too large. */
     private var singleJobUntilUs: Micros = 0
 
-    /** Which jobs may be planned. */
+    /** Tracks which jobs may be planned. */
     val availability = JobAvailability(context)
 
-    /** Resources of machines that placements in flight take. */
+    /** Resources of machines taken by placements in flight. */
     val reservations = MachineReservations()
 
-    /** Whether at least one transaction may leave now. */
+    /** Whether at least one transaction may be sent now. */
     val canSend: Boolean get() =
         stateStore.isServing &&
             stateStore.isReachable &&
             stateStore.inFlightTransactions < MAX_TRANSACTIONS_IN_FLIGHT &&
             stateStore.writesAllowed() > 0
 
-    /** Whether no placement of [team] that raises its reservation is in flight. */
+    /** Whether no transaction in flight raises the reservation of [team]. */
     fun isTeamAvailable(team: String): Boolean = team !in limitedTeamsInFlight
 
     /**
-     * Sends [parts] in this order until a limit is reached, leaving [reservedWrites] of the allowed writes unused.
-     * Returns the parts that were sent; the others have to be planned again.
+     * Sends [parts] in order until a limit is reached, and leaves [reservedWrites] of the allowed writes unused. Returns the
+     * parts that were sent; the others must be planned again.
      */
     fun send(
         parts: List<TransactionPart>,
@@ -82,7 +82,7 @@
                 batch.add(part)
                 sent += part
             } else {
-                LOG.error("update fits no transaction job={} bytes={}", part.job.text, part.bytes)
+                LOG.error("job update exceeds transaction or value limits job={} bytes={}", part.job.text, part.bytes)
             }
         }
         if (!batch.isEmpty) sendTransaction(batch.parts)
@@ -91,7 +91,10 @@
 
     private fun newBatch() = TransactionBatch(limits, allowsMultipleParts = context.now >= singleJobUntilUs)
 
-    /** Whether the limits of transactions and writes allow [batch] with [part]; a part that is larger alone may go when one write is left. */
+    /**
+     * Whether the limits on writes and on transactions in flight allow [batch] with [part]. A single write is always within
+     * the write limit.
+     */
     private fun mayWrite(
         batch: TransactionBatch,
         part: TransactionPart,
@@ -150,7 +153,7 @@
             TransactionResult.TooLarge -> onTooLarge(parts)
             TransactionResult.Refused, TransactionResult.LeaseGone -> notifyNotCommitted(parts)
             TransactionResult.Unknown -> {
-                // It may be carried out later: its guards keep that harmless.
+                // The transaction may still be applied later, which its guards make harmless.
                 notifyNotCommitted(parts)
                 stateStore.afterCatchUp { }
             }
@@ -159,12 +162,12 @@
 
     private fun notifyNotCommitted(parts: List<TransactionPart>) = parts.forEach { it.listener.onNotCommitted() }
 
-    /** Jobs whose guards failed wait until the watch has brought the conflicting change. */
+    /** Makes jobs whose guards failed unavailable until the watch has delivered the conflicting change. */
     private fun onConflict(
         parts: List<TransactionPart>,
         result: TransactionResult.Conflict,
     ) {
-        LOG.debug("conflict keys={} revision={}", result.failed, result.revision)
+        LOG.debug("transaction conflict keys={} revision={}", result.failed, result.revision)
         val failed = result.failed.toSet()
         for (part in parts) {
             part.listener.onNotCommitted()
@@ -174,7 +177,10 @@
         stateStore.afterCatchUp { }
     }
 
-    /** Several jobs together were too large: they go one by one. One job alone was: it waits, the same again would fare no better. */
+    /**
+     * If the transaction had several jobs, each job gets a separate transaction for some time. If it had only one, the job is
+     * paused, because the same update would be too large again.
+     */
     private fun onTooLarge(parts: List<TransactionPart>) {
         notifyNotCommitted(parts)
         if (parts.size > 1) {
@@ -185,8 +191,8 @@
     }
 
     /**
-     * Placements of teams with a limit raise the team's reservation, whose guard makes sure that the sum they were judged
-     * by is current. Adds its guards and writes; returns these teams.
+     * Adds guards and writes that raise the reservations of teams with a limit, and returns these teams. The guard of a
+     * reservation ensures that the team's usage, against which its limit was checked, is current.
      */
     private fun addTeamReservations(
         parts: List<TransactionPart>,
--- a/src/main/kotlin/mintpick/engine/jobs/UserRequestHandler.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/UserRequestHandler.kt
@@ -9,7 +9,10 @@
 import mintpick.wire.JobStage
 import mintpick.wire.StoredStage
 
-/** The users' requests: each is answered once, from records that are current, or refused at once. Event-loop thread only. */
+/**
+ * Handles requests of users. Each is answered exactly once: from records that are current, or with a refusal.
+ * Event-loop thread only.
+ */
 class UserRequestHandler(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
@@ -19,7 +22,7 @@
 ) {
     private val cache get() = context.cache
 
-    /** Stores [spec] and answers then; a repeated submission of an accepted job is answered with its stage. */
+    /** Stores [spec] and answers after that. A repeated submission of an accepted job is answered with the job's stage. */
     fun submit(
         spec: JobSpec,
         reply: ReplyTo,
@@ -43,7 +46,7 @@
         val id = JobId(spec.id)
         when (val result = validator.validate(spec)) {
             AdmissionResult.Accepted -> pendingRequests.addSubmission(spec, reply)
-            // The id is looked up first: a job that was accepted never gets 422 when it is repeated.
+            // The id is looked up first, because a repeated submission of an accepted job must never get 422.
             is AdmissionResult.Rejected ->
                 answers.sendCurrentStageOr(id, reply) { errorAnswer(HttpStatus.UNPROCESSABLE, result.reason.text) }
             AdmissionResult.DependenciesNotSupportedYet ->
@@ -53,8 +56,9 @@
     }
 
     /**
-     * A job names others that our records do not show: those that another controller has accepted meanwhile they show once
-     * they have caught up. What is unknown then was never accepted, unless it is being stored here at this moment.
+     * Handles a submission with predecessors that are missing from the cached records. Another controller may have accepted
+     * them, so they are looked up again after the cache has caught up with the state store. A predecessor that is still
+     * unknown then was never accepted, unless this controller is currently storing it.
      */
     private fun submitAfterCatchUp(
         spec: JobSpec,
@@ -84,7 +88,10 @@
         context.send(reply, answer)
     }
 
-    /** Refuses a submission that breaks the format. The id is looked up first: a job that was accepted never gets 400 when it is repeated. */
+    /**
+     * Refuses a malformed submission. The id is looked up first, because a repeated submission of an accepted job must never
+     * get 400.
+     */
     fun rejectMalformed(
         id: JobId,
         reason: String,
@@ -98,7 +105,7 @@
         }
     }
 
-    /** Answers with the job's progress; what is final is answered at once, since it never changes. */
+    /** Answers with the job's progress. Final records never change, so they are sent without waiting for the cache to catch up. */
     fun poll(
         id: JobId,
         reply: ReplyTo,
@@ -112,7 +119,7 @@
         }
     }
 
-    /** Cancels a job and answers once that is stored. */
+    /** Cancels a job and answers after the cancellation is stored. */
     fun cancel(
         id: JobId,
         reply: ReplyTo,
@@ -137,6 +144,6 @@
         }
     }
 
-    /** Answers requests that have been decided or have waited too long. */
+    /** Answers pending requests that have been decided or have timed out. */
     fun tick() = pendingRequests.answerDecidedOrExpired()
 }
--- a/src/main/kotlin/mintpick/engine/membership/ClaimAges.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimAges.kt
@@ -3,7 +3,7 @@
 import mintpick.core.Micros
 import mintpick.engine.runtime.EngineContext
 
-/** For how long each shard's claim has stood unchanged, or has been absent, as far as this controller has observed. */
+/** Tracks how long this controller has seen the claim of each shard unchanged or missing. */
 internal class ClaimAges(
     private val context: EngineContext,
     private val shardCount: Int,
@@ -16,7 +16,7 @@
     private val observed = HashMap<Int, ObservedClaim>()
     private val unclaimedSinceUs = HashMap<Int, Micros>()
 
-    /** Compares all claims with those of the last call. */
+    /** Compares the current claims with those seen at the last call. */
     fun observe() {
         for (shard in 0 until shardCount) observe(shard)
     }
@@ -32,9 +32,9 @@
         if (observed[shard]?.version != claim.version) observed[shard] = ObservedClaim(claim.version, context.now)
     }
 
-    /** For how long the claim of [shard] has not changed, in microseconds; null: it has not been observed. */
+    /** How long the claim of [shard] has not changed, in microseconds; null if no claim of it has been observed. */
     fun unchangedForUs(shard: Int): Micros? = observed[shard]?.let { context.now - it.sinceUs }
 
-    /** For how long [shard] has been without a claim, in microseconds; 0 if it was not observed to be. */
+    /** How long [shard] has had no claim, in microseconds; 0 if it was not observed without one. */
     fun unclaimedForUs(shard: Int): Micros = context.now - (unclaimedSinceUs[shard] ?: context.now)
 }
