--- a/src/main/kotlin/mintpick/engine/membership/ClaimTarget.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimTarget.kt
@@ -2,12 +2,12 @@
 
 import mintpick.wire.Guard
 
-/** A record that is to be claimed: the shard's, the borrowed machine's or the leader's. */
+/** A claim record to write or delete: of a shard, of a borrowed machine or of the leadership. */
 internal data class ClaimTarget(
     val key: String,
-    /** Its version as it is known, which must still stand when the claim is committed; 0: there is no such record. */
+    /** Last known version of the record, which must not have changed when the claim is committed; 0 if there is no record. */
     val version: Long,
 ) {
-    /** The condition under which the claim is committed. */
+    /** Condition for the commit: the record still has [version]. */
     val guard: Guard get() = Guard(key, version)
 }
--- a/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
@@ -10,7 +10,7 @@
 import mintpick.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** Writes and deletes claims by compare-and-swap; each record is in one open transaction at a time. */
+/** Writes and deletes claims by compare-and-swap. Each record is in at most one transaction in flight. */
 internal class ClaimWriter(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
@@ -18,9 +18,9 @@
     private val inFlightKeys = HashSet<String>()
 
     /**
-     * Claims the [targets] that are in no open transaction, as many as one transaction carries, and raises the epochs of
-     * the shards [epochShards] with them. [then] hears whether that was committed: not without a lease, nor while the
-     * limits allow no write.
+     * Claims those of the [targets] that are in no transaction in flight, up to the size limit of a transaction. The same
+     * transaction raises the epochs of the shards [epochShards]. [then] receives whether it was committed; without a lease,
+     * without a target left or while the rate limits allow no write, it receives false at once.
      */
     fun claim(
         targets: List<ClaimTarget>,
@@ -30,13 +30,13 @@
     ) {
         val record = claimRecord() ?: return then(false)
         val maxTargets = maxOf(1, context.settings.limits.transactionOps - epochShards.size)
-        val open = targets.filter { it.key !in inFlightKeys }.take(maxTargets)
-        if (open.isEmpty() || stateStore.writesAllowed() < 1) return then(false)
-        val keys = open.map { it.key }
+        val available = targets.filter { it.key !in inFlightKeys }.take(maxTargets)
+        if (available.isEmpty() || stateStore.writesAllowed() < 1) return then(false)
+        val keys = available.map { it.key }
         inFlightKeys += keys
         val claims = keys.map { Write(it, record, leased = true) }
         val epochs = epochShards.map { Write(Keys.epoch(it), record) }
-        stateStore.transact(open.map { it.guard }, claims + epochs) { result ->
+        stateStore.transact(available.map { it.guard }, claims + epochs) { result ->
             inFlightKeys -= keys.toSet()
             if (result is TransactionResult.Committed) {
                 LOG.info("claimed keys={} token={} reason={}", keys.map { it.removePrefix(Keys.ROOT) }, result.revision, reason)
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Deletes the record of [target], unless it is in an open transaction. */
+    /** Deletes the record of [target], unless it is in a transaction in flight. */
     fun delete(target: ClaimTarget) {
         if (!inFlightKeys.add(target.key)) return
         stateStore.transact(listOf(target.guard), listOf(Write(target.key, null))) { inFlightKeys.remove(target.key) }
--- a/src/main/kotlin/mintpick/engine/membership/ClusterConnectivity.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClusterConnectivity.kt
@@ -1,10 +1,10 @@
 package mintpick.engine.membership
 
-/** Whom this controller is in contact with at the moment, which decides whether it may take shards and machines from others. */
+/** Current connectivity of this controller, which decides whether it may claim shards and machines of other controllers. */
 interface ClusterConnectivity {
-    /** Whether every other controller has sent a hint lately, so that shards may go back to their preferred controllers. */
+    /** Whether every peer has sent a hint recently; only then are shards moved back to their preferred controllers. */
     val hasHintsFromAllPeers: Boolean
 
-    /** Whether our calls reach agents, so that machines that we take from other controllers are served. */
+    /** Whether calls from this controller reach agents, so that it can serve machines claimed from other controllers. */
     val canReachAgents: Boolean
 }
--- a/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -10,7 +10,7 @@
 import mintpick.wire.PeerHint
 
 /**
- * Whether this controller should act, judged from its own contact with the state service and its peers' hints.
+ * Decides what this controller may do, based on its own contact with the state store and the hints of its peers.
  *
  * Event-loop thread only.
  */
@@ -23,10 +23,13 @@
     private val cancellations = PeerCancellations(context, stateStore)
     private val stateAgeUs: Micros get() = stateStore.lastServedUs?.let { context.now - it } ?: Long.MAX_VALUE
 
-    /** For how long agents' leases may be renewed without news of cancellations: see [mayAnswerAgents]. */
+    /** How long agents' leases may be renewed while newly confirmed cancellations may be unknown here: see [mayAnswerAgents]. */
     private val maxRenewalUs: Micros = context.settings.cancelUs - context.settings.leaseUs - CANCELLATION_MARGIN
 
-    /** To be called in each step: notes which peers the state service has no lease of any more, while it serves us. */
+    /**
+     * Records which peers have no lease in the state store, while the state store serves this controller. Must be called
+     * in each step.
+     */
     fun tick() {
         cancellations.forgetRecorded()
         if (isHealthy()) {
@@ -36,13 +39,13 @@
         }
     }
 
-    /** [node] has answered a hint that left at [sentUs], so it had heard us by then. */
+    /** Must be called when [node] has answered a hint of this controller that was sent at [sentUs]. */
     fun onHintAcknowledged(
         node: NodeId,
         sentUs: Micros,
     ) = renewals.onHintAcknowledged(node, sentUs)
 
-    /** A hint has come; one of a controller that is not configured is ignored. */
+    /** Stores a received hint. Hints of controllers that are not configured as peers are ignored. */
     fun onHint(hint: PeerHint) {
         if (context.settings.peers.none { it.node == hint.node }) return
         cancellations.onHint(hint)
@@ -50,8 +53,8 @@
     }
 
     /**
-     * A peer's answer to a hint of ours that left at [sentUs]. Only this counts as its account of cancellations: a hint
-     * that it sends by itself may have been held up on its way, and is then as old as its sending.
+     * Stores a peer's answer to a hint that was sent at [sentUs]. Only answers prove which cancellations the peer had
+     * confirmed by a known time: a hint that a peer sends on its own may have been delayed on the way.
      */
     fun onHintAnswer(
         hint: PeerHint,
@@ -61,40 +64,41 @@
         cancellations.onHintAnswer(hint, sentUs)
     }
 
-    /** Whether another controller that we hear has found that [job] fails wherever it runs. */
+    /** Whether a recent hint of a peer says that [job] fails on every machine. */
     fun isFaultyElsewhere(job: JobId): Boolean = hints.isFaultyElsewhere(job)
 
-    /** Whether another controller has hinted at a cancellation of [job] that our records may not show yet. */
+    /** Whether a peer has reported a cancellation of [job] that the local records may not show yet. */
     fun isCancelledElsewhere(job: JobId): Boolean = cancellations.isHinted(job)
 
-    /** Images on machines that other controllers have heard from [within] this time, by their recent hints. */
+    /** Images on the machines that have sent a heartbeat to a peer [within] this time, by the recent hints of peers. */
     fun hintedImages(within: Micros): Map<MachineId, Set<String>> = hints.hintedImages(within)
 
-    /** Whether [node] could not place what waits there: its hint says so, or there is no recent one. */
+    /** Whether [node] may be unable to place its waiting jobs: its hint says so, or there is no recent hint. */
     fun mayLackCapacity(node: NodeId): Boolean = hints.mayLackCapacity(node)
 
-    /** Whether there is a recent hint of [node]. */
+    /** Whether [node] has sent a hint recently. */
     fun hasRecentHint(node: NodeId): Boolean = hints.hasRecentHint(node)
 
-    /** Whether every other controller has sent a hint after [since]. */
+    /** Whether every peer has sent a hint after [since]. */
     fun hasHintsFromAllSince(since: Micros): Boolean = hints.hasHintsFromAllSince(since)
 
     /**
-     * Whether a controller in [zone] has sent a hint after [since], so that the way there was open. In a cut between
-     * zones peers fall silent with the machines, and a machine's silence says little. For our own zone any other
-     * controller will do: we may be cut off ourselves.
+     * Whether a peer in [zone] has sent a hint after [since], which shows that the zone was reachable. In a network
+     * partition between zones, hints from the zone stop together with its heartbeats, so missing heartbeats do not prove
+     * that a machine has failed. For this controller's own zone and for zones without a peer, a hint of any peer counts,
+     * because this controller may itself be disconnected. True if there are no peers.
      */
     fun hasHintFromZone(
         zone: String?,
         since: Micros,
     ): Boolean = hints.hasHintFromZone(zone, since)
 
-    /** Since when the way to [zone] has been open without a break, by the same peers as [hasHintFromZone]; null: it may not be. */
+    /** Since when [zone] has been reachable without a gap, by the hints of the same peers as [hasHintFromZone]; null: it may not be. */
     fun zoneReachableSince(zone: String?): Micros? = hints.zoneReachableSince(zone)
 
     /**
-     * Whether [machine] has sent a heartbeat to some other controller [within] this time, as far as hints show; [peer] narrows
-     * it to one.
+     * Whether hints show that [machine] has sent a heartbeat to [peer] [within] this time. Without [peer], a heartbeat to
+     * any peer counts.
      */
     fun hasHeartbeatElsewhere(
         machine: MachineId,
@@ -102,22 +106,22 @@
         within: Micros = context.settings.reportUs + HEARTBEAT_MARGIN,
     ): Boolean = hints.hasHeartbeatElsewhere(machine, peer, within)
 
-    /** Whether the state service serves us and our lease holds. */
+    /** Whether the state store serves this controller and its lease is valid. */
     fun isHealthy(): Boolean = stateStore.isServing && stateAgeUs < MAX_HEALTHY_STATE_AGE
 
-    /** Whether the state service serves some peer while it does not serve us. */
+    /** Whether the state store serves a peer, by a recent hint received since the store last served this controller. */
     fun isAnyPeerServed(): Boolean = hints.isAnyPeerServed(since = stateStore.lastServedUs ?: 0)
 
-    /** What `/up` says: not down in a shared outage, where no other controller would do better. */
+    /** The answer of `/up`. It stays true in an outage that affects all controllers, where no peer could serve requests instead. */
     fun isUp(): Boolean = stateStore.isServing && (stateAgeUs < MAX_UP_STATE_AGE || !isAnyPeerServed())
 
-    /** Whether a task may still be started: not when its cancellation may have been confirmed for longer than a moment. */
+    /** Whether tasks may be started: not if a cancellation may have been confirmed [MAX_START_CANCELLATION_AGE] ago and be unknown here. */
     fun mayStartTasks(): Boolean = cancellations.unknownForUs() < MAX_START_CANCELLATION_AGE
 
     /**
-     * Whether agents may be answered, which renews their leases. Cut off from the state service it keeps its agents, unless
-     * a peer could serve them, or a cancellation that we do not know of might be overdue: then their leases must expire in
-     * time. No message has to arrive for that; without one the leases end.
+     * Whether heartbeats may be answered, which renews the agents' leases. Without contact to the state store this
+     * controller keeps its agents, except in two cases: a peer could serve them, or a confirmed cancellation that is
+     * unknown here might become overdue. The agents' leases then expire in time, which needs no message to reach them.
      */
     fun mayAnswerAgents(): Boolean {
         if (cancellations.unknownForUs() >= maxRenewalUs) return false
@@ -125,43 +129,45 @@
     }
 
     /**
-     * Whether we may answer agents of our zone on behalf of [owner]: in a cut of the zone all that this controller
-     * commands there would lose its leases within reach of us. Only while nobody is served whom we hear, we do not hear
-     * [owner], and a cancellation that we can't know of is not overdue. [peerRenewalsUntil] is what that controller
-     * takes into account for it.
+     * Whether heartbeats of agents in this controller's zone may be answered on behalf of [owner]. If a network partition
+     * separates the zone from [owner], its agents there would otherwise lose their leases although this controller can
+     * reach them. Allowed only while the state store serves neither this controller nor a peer with a recent hint, while
+     * [owner] has sent no recent hint, and while no cancellation unknown here can be overdue. [owner] accounts for
+     * these renewals with [peerRenewalsUntil].
      */
     fun mayAnswerAgentsOf(owner: NodeId): Boolean {
         if (stateAgeUs < MAX_KEPT_STATE_AGE || hasRecentHint(owner) || isAnyPeerServed()) return false
-        val recordsKnownUs = stateStore.cacheAsOfUs ?: return false
-        return context.now - recordsKnownUs < maxRenewalUs
+        val cacheAsOfUs = stateStore.cacheAsOfUs ?: return false
+        return context.now - cacheAsOfUs < maxRenewalUs
     }
 
     /**
-     * Until when another controller in [zone] may have renewed leases of our agents there; null: it can't be known. One
-     * that has answered our hints without a break has not; one that has lost its lease could for a while only.
+     * Until when a peer in [zone] may have renewed leases of this controller's agents there, in microseconds of the
+     * monotonic clock; null: unknown. A peer that answers this controller's hints without a gap has renewed none since the
+     * first of them. A peer without a lease in the state store could renew them for a limited time only.
      */
     fun peerRenewalsUntil(zone: String?): Micros? = renewals.peerRenewalsUntil(zone, maxRenewalUs)
 
-    /** For how long at most another controller in [zone] may renew leases of our agents on our behalf, in microseconds. */
+    /** How long at most peers in [zone] may renew leases of agents on behalf of this controller, in microseconds. */
     fun maxPeerRenewalUs(zone: String?): Micros = if (context.settings.peers.any { it.zone == zone }) maxRenewalUs else 0
 
     private companion object {
-        /** How much later than its interval demands a heartbeat may show in a peer's hint. */
+        /** How much later than the heartbeat interval a heartbeat may show up in a peer's hint. */
         const val HEARTBEAT_MARGIN: Micros = 6 * SECOND
 
-        /** How long ago the state service served us at most for us to act on the records. */
+        /** Longest time since the state store last served this controller for it to act on the records. */
         const val MAX_HEALTHY_STATE_AGE: Micros = 2_500_000
 
-        /** How long ago the state service served us at most for agents to be kept even if a peer could serve them. */
+        /** Longest time since the state store last served this controller for it to keep agents that a peer could serve. */
         const val MAX_KEPT_STATE_AGE: Micros = 4 * SECOND
 
-        /** How long ago the state service served us at most for `/up` to succeed even if a peer is served. */
+        /** Longest time since the state store last served this controller for `/up` to succeed while a peer is served. */
         const val MAX_UP_STATE_AGE: Micros = 3 * SECOND
 
-        /** For how long a cancellation that is not known here may have been confirmed when a task is started. */
+        /** Longest time that a cancellation unknown here may have been confirmed when a task is started. */
         const val MAX_START_CANCELLATION_AGE: Micros = 4 * SECOND
 
-        /** For a cancellation that was on its way to us when the state service last served us, and for clocks that drift. */
+        /** Covers cancellations that were in transit when the state store last served this controller, and clock drift. */
         const val CANCELLATION_MARGIN: Micros = 2 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
+++ b/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
@@ -8,7 +8,7 @@
 import mintpick.engine.state.StateStoreClient
 import mintpick.store.Keys
 
-/** Takes control of single machines, raises their fencing tokens and gives control back; see [ShardClaims] for each function. */
+/** Takes over and borrows machines, raises their fencing tokens and returns borrowed machines; [ShardClaims] documents each function. */
 internal class MachineControl(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
@@ -18,7 +18,7 @@
 ) {
     private val lastRaiseUs = HashMap<String, Micros>()
 
-    /** Who waits for the decision on the open failover of a shard. */
+    /** Callbacks that wait for the outcome of the failover in flight, by shard. */
     private val failoverWaiters = HashMap<Int, MutableList<() -> Unit>>()
     private val cache get() = context.cache
 
@@ -32,7 +32,7 @@
     ) {
         val claim = directory.controlClaim(machine)
         val shard = directory.shard(machine)
-        // Another controller may have taken it over while we asked the machine.
+        // Another controller may have taken the machine over since the caller checked it.
         if (claim == null || shard == null || claim.node != from) return then()
         if (!wholeShard || machine in cache.borrows) {
             writer.claim(listOf(borrowTarget(machine)), reason, setOf(shard)) { then() }
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Hundreds of machines of a shard ask for it at once: one transaction decides for all of them. */
+    /** Takes over a whole shard. Hundreds of its machines may need it at the same time; one transaction serves all of them. */
     private fun takeOverShard(
         shard: Int,
         version: Long,
@@ -77,13 +77,13 @@
         if (!directory.isLeader || !connectivity.canReachAgents) return
         // Each machine needs up to two writes: its own and its shard's epoch.
         val maxMachines = maxOf(1, context.settings.limits.transactionOps / 2)
-        // A machine that another controller has borrowed is taken from it in the same way.
+        // Includes machines that another controller has borrowed: their borrow claims are overwritten.
         val wanted = machines.filter { !directory.controls(it) && directory.shard(it) != null }.take(maxMachines)
         if (wanted.isEmpty()) return
         val shards = wanted.mapNotNullTo(HashSet()) { directory.shard(it) }
         writer.claim(wanted.map(::borrowTarget), "borrowed", shards) { isCommitted ->
             if (isCommitted) {
-                // Starts a catch-up, so that the records soon show all that the owners had placed there.
+                // Reads the state store up to now, so that the cache soon shows all placements that the owners made there.
                 stateStore.afterCatchUp { }
                 wanted.forEach(then)
             }
@@ -98,7 +98,7 @@
     private fun borrowTarget(machine: MachineId) = ClaimTarget(Keys.borrow(machine.text), cache.borrows[machine]?.version ?: 0)
 
     private companion object {
-        /** Between two raises of the same record's token. */
+        /** Shortest time between two raises of the same token. */
         const val MIN_RAISE_INTERVAL: Micros = 2 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/PeerCancellations.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerCancellations.kt
@@ -7,27 +7,28 @@
 import mintpick.engine.state.StateStoreClient
 import mintpick.wire.PeerHint
 
-/** Cancellations that other controllers have hinted at, and up to when all confirmed cancellations are known here. */
+/** Tracks cancellations reported in peer hints, and up to which time all confirmed cancellations are known to this controller. */
 internal class PeerCancellations(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
 ) {
-    /** When a peer last hinted at the cancellation of a job. */
+    /** When a hint last listed the job as cancelled. */
     private val hintedUs = HashMap<JobId, Micros>()
 
     /**
-     * By controller, when our newest hint left that it answered with all cancellations that its records show. A
-     * controller confirms a cancellation only once its own records show it, so none that it confirmed before is unknown here.
+     * By controller, the send time of the newest hint that it answered with all cancellations in its records. A controller
+     * confirms a cancellation only after its own records show it, so every cancellation that it confirmed before that time is
+     * known here.
      */
     private val completeFromUs = HashMap<NodeId, Micros>()
 
-    /** Whether a peer has hinted at a cancellation of [job] that our records may not show yet. */
+    /** Whether a peer has reported a cancellation of [job] that the local records may not show yet. */
     fun isHinted(job: JobId): Boolean = job in hintedUs
 
-    /** Takes in the cancellations of a configured peer's hint. */
+    /** Stores the cancellations in the hint of a configured peer. */
     fun onHint(hint: PeerHint) = hint.cancelled.forEach { hintedUs[JobId(it)] = context.now }
 
-    /** Takes in whether the answer to a hint of ours that left at [sentUs] held all cancellations that the peer confirmed. */
+    /** Records that a peer has answered a hint sent at [sentUs], if its answer lists all cancellations in its records. */
     fun onHintAnswer(
         hint: PeerHint,
         sentUs: Micros,
@@ -35,16 +36,16 @@
         if (hint.cancelledIsComplete) completeFromUs.merge(NodeId(hint.node), sentUs, ::maxOf)
     }
 
-    /** Forgets the hints that our own records are new enough to show. */
+    /** Removes reported cancellations that the local records are recent enough to show. */
     fun forgetRecorded() {
-        val recordsKnownUs = stateStore.cacheAsOfUs ?: return
-        if (hintedUs.isNotEmpty()) hintedUs.values.removeIf { it < recordsKnownUs }
+        val cacheAsOfUs = stateStore.cacheAsOfUs ?: return
+        if (hintedUs.isNotEmpty()) hintedUs.values.removeIf { it < cacheAsOfUs }
     }
 
     /**
-     * For how long a cancellation that is not known here may have been confirmed, in microseconds. None was before that: by
-     * our own records, or by what every other controller has answered since. A controller that was not heard, or that has
-     * restarted and could not load the records yet, may have confirmed any.
+     * How long ago a cancellation that is unknown here may have been confirmed at most, in microseconds. Cancellations
+     * confirmed earlier are known from the local records or from the answers of all peers. A peer that has not answered,
+     * or that has restarted and not loaded the records yet, may have confirmed any.
      */
     fun unknownForUs(): Micros {
         val byAnswersUs = context.settings.peers.minOfOrNull { completeFromUs[NodeId(it.node)] ?: 0 } ?: context.now
--- a/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
@@ -9,23 +9,26 @@
 import mintpick.engine.runtime.EngineContext
 import mintpick.wire.PeerHint
 
-/** The newest hint of each other controller; a hint counts for [HINT_VALIDITY] only. See [ControllerHealth] for the functions. */
+/**
+ * The newest hint of each peer. A hint is recent for [HINT_VALIDITY]; older ones are ignored where recent hints are required.
+ * [ControllerHealth] documents the functions without a comment here.
+ */
 internal class PeerHints(
     private val context: EngineContext,
 ) {
-    /** A machine as a peer has hinted at it. */
+    /** A machine as listed in a peer's hint. */
     private class HintedMachine(
-        /** Its newest heartbeat to that peer, on our clock. */
+        /** When it last sent a heartbeat to that peer, by the monotonic clock of this controller. */
         val heartbeatUs: Micros,
         val images: Set<String>,
     )
 
     private class ReceivedHint(
         val atUs: Micros,
-        /** Since when the peer's hints have come without a break. */
+        /** Since when the peer's hints have arrived without a gap. */
         val unbrokenSinceUs: Micros,
         val hint: PeerHint,
-        /** By the newest hint that listed machines. */
+        /** The machines in the newest hint that listed machines, by identifier. */
         val machines: Map<String, HintedMachine>,
     ) {
         val faultyJobs: Set<String> = hint.faultyJobs.toSet()
@@ -33,7 +36,7 @@
 
     private val received = HashMap<NodeId, ReceivedHint>()
 
-    /** Takes in a configured peer's hint. */
+    /** Stores the hint of a configured peer. */
     fun onHint(hint: PeerHint) {
         val node = NodeId(hint.node)
         val before = received[node]
@@ -84,7 +87,10 @@
         return probePeers.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
     }
 
-    /** Peers whose hints show that [zone] can be reached: for our own zone all of them, since we may be cut off ourselves. */
+    /**
+     * Peers whose hints show that [zone] is reachable. For this controller's own zone these are all peers, because this
+     * controller may itself be disconnected; likewise for a zone without peers.
+     */
     private fun probePeers(zone: String?): List<Peer> {
         val inZone = context.settings.peers.filter { it.zone == zone }
         return if (zone == context.settings.zone || inZone.isEmpty()) context.settings.peers else inZone
@@ -100,15 +106,15 @@
             (peer == null || peer == node) && heartbeatUs != null && context.now - heartbeatUs < within
         }
 
-    /** Whether the state service serves some peer, as its hint from after [since] says. */
+    /** Whether the state store serves a peer, by a recent hint received after [since]. */
     fun isAnyPeerServed(since: Micros): Boolean =
         received.values.any { it.isRecent() && it.hint.stateAgeUs in 0..MAX_SERVED_AGE && it.atUs > since }
 
     companion object {
-        /** For how long a hint counts; a peer sends one each second, and some may be lost. */
+        /** How long a hint counts as recent. Peers send one each second, and some may be lost. */
         const val HINT_VALIDITY: Micros = 3 * SECOND
 
-        /** How long ago the state service served a peer at most for it to be served now. */
+        /** Longest time since the state store last served a peer for the peer to count as served. */
         private const val MAX_SERVED_AGE: Micros = 1_500_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/PeerRenewals.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerRenewals.kt
@@ -4,32 +4,37 @@
 import mintpick.core.NodeId
 import mintpick.engine.runtime.EngineContext
 
-/** Which peers have certainly received our hints, and which have lost their leases of the state service. */
+/**
+ * Determines until when peers may have renewed leases of this controller's agents on its behalf. A peer does so only while
+ * it receives no hints from this controller and has no contact to the state store. This class therefore tracks which peers
+ * answer hints and which have no lease in the state store.
+ */
 internal class PeerRenewals(
     private val context: EngineContext,
 ) {
-    /** Hints of ours that a peer has answered without a break, by when they left. */
-    private class AnsweredHints(
+    /** Send times of the first and the last hint in a sequence that a peer has answered without a gap. */
+    private class AnsweredSequence(
         val firstSentUs: Micros,
         val lastSentUs: Micros,
     )
 
-    private val answered = HashMap<NodeId, AnsweredHints>()
+    private val answered = HashMap<NodeId, AnsweredSequence>()
     private val leaseAbsentSinceUs = HashMap<NodeId, Micros>()
 
-    /** [node] has answered a hint that left at [sentUs], so it had heard us by then. */
+    /** Records that [node] has answered a hint sent at [sentUs], which proves that it received the hint. */
     fun onHintAcknowledged(
         node: NodeId,
         sentUs: Micros,
     ) {
-        // By now it has read this one; if that is soon after the one before left, it has heard us all the time.
+        // The peer has received this hint by now. If the previous one was sent less than the validity of a hint ago, the
+        // peer had a valid hint of this controller all the time in between.
         val unbroken = answered[node]?.takeIf { it.isUnbroken() }
-        answered[node] = AnsweredHints(unbroken?.firstSentUs ?: sentUs, sentUs)
+        answered[node] = AnsweredSequence(unbroken?.firstSentUs ?: sentUs, sentUs)
     }
 
-    private fun AnsweredHints.isUnbroken(): Boolean = context.now - lastSentUs < PeerHints.HINT_VALIDITY - CLOCK_MARGIN
+    private fun AnsweredSequence.isUnbroken(): Boolean = context.now - lastSentUs < PeerHints.HINT_VALIDITY - CLOCK_MARGIN
 
-    /** Notes which peers the state service has no lease of. */
+    /** Records which peers have no lease in the state store. */
     fun observeLeases() {
         for (peer in context.settings.peers) {
             val node = NodeId(peer.node)
@@ -41,12 +46,12 @@
         }
     }
 
-    /** Forgets for how long leases have been absent: our records may be out of date. */
+    /** Discards the times since which leases are absent, because the local records may be out of date. */
     fun clearLeases() = leaseAbsentSinceUs.clear()
 
     /**
-     * Until when a peer in [zone] may have answered agents on our behalf, which it does without a lease for
-     * [maxPeerRenewalUs] at most; null: it can't be known. 0 if there is no peer there.
+     * Until when a peer in [zone] may have renewed leases of this controller's agents; null if unknown, 0 if there is no
+     * peer in the zone. A peer without a lease in the state store renews them for [maxPeerRenewalUs] at most.
      */
     fun peerRenewalsUntil(
         zone: String?,
@@ -71,7 +76,7 @@
     }
 
     private companion object {
-        /** Longer than what clocks drift apart between two hints, and than a hint takes to be read. */
+        /** More than the clock drift between two hints, and more than a peer takes to process a hint. */
         const val CLOCK_MARGIN: Micros = 200_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
@@ -12,10 +12,12 @@
 import mintpick.wire.Guard
 
 /**
- * Who may command which machine and place which job. Machines and jobs hash into fixed partitions; a partition of a zone
- * is a shard, so that in a cut between zones each side can take what it reaches as a whole, and nothing else. A
- * claim of a shard hangs on its controller's lease and its version is the fencing token of the shard's machines.
- * A claim may be overwritten at any time: every placement is guarded by it, and agents refuse lower tokens.
+ * Ownership of machines and jobs: which controller commands a machine, and which one places a job.
+ *
+ * Machines and jobs hash into a fixed number of partitions. Each partition has one shard per zone. In a network partition
+ * between zones, each side can therefore claim all shards that it can reach, and only those. The claim of a shard is attached
+ * to its owner's lease, and its version is the fencing token of the shard's machines. A claim may be overwritten at any time,
+ * because every placement is guarded by it and agents reject lower tokens.
  *
  * Event-loop thread only.
  */
@@ -34,51 +36,54 @@
     /** Whether this controller is the leader. */
     val isLeader: Boolean get() = directory.isLeader
 
-    /** The partition that a machine or job hashes into, in every zone. */
+    /** The partition that the name of a machine or job hashes into; it is the same in every zone. */
     fun partition(name: String): Int = directory.partition(name)
 
-    /** Notes the zone of [machine], which it keeps; before that nobody commands it. */
+    /** Records the [zone] of [machine]; later values are ignored. No controller commands a machine whose zone is unknown. */
     fun register(
         machine: MachineId,
         zone: String,
     ) = directory.register(machine, zone)
 
-    /** Forgets the zone of [machine]. */
+    /** Removes the zone of [machine]. */
     fun forget(machine: MachineId) = directory.forget(machine)
 
-    /** The shard of [machine]; null: its zone is not known. */
+    /** The shard of [machine]; null if its zone is unknown. */
     fun shard(machine: MachineId): Int? = directory.shard(machine)
 
     /**
-     * The claim that gives the right to command [machine]: a borrowing, else its shard's claim. A claim that is older
-     * than the end of a borrowing gives none until it is written anew: commands of the borrower, some of them perhaps
-     * still on their way, have higher tokens.
+     * The claim that gives the right to command [machine]: its borrow claim, or else the claim of its shard. A shard claim
+     * older than the end of a borrowing of the machine gives no control until it is rewritten, because commands of the
+     * borrower, some possibly still in transit, have higher tokens.
      */
     fun controlClaim(machine: MachineId): Claim? = directory.controlClaim(machine)
 
     /** Whether this controller commands [machine]. */
     fun controls(machine: MachineId): Boolean = directory.controls(machine)
 
-    /** Whether [claim] is held by this process: not one of an earlier process under the same name, whose lease differs. */
+    /** Whether this process holds [claim]. Claims of an earlier process of this controller have another lease and do not count. */
     fun isOwn(claim: Claim?): Boolean = directory.isOwn(claim)
 
-    /** Whether the claim that commands [machine] is older than an agent needs to find its controller. */
+    /**
+     * Whether the claim of the shard of [machine] has been unchanged long enough for the agent to have found the owner. False
+     * for a borrowed machine.
+     */
     fun isClaimSettled(machine: MachineId): Boolean {
         if (machine in context.cache.borrows) return false
         val unchangedForUs = directory.shard(machine)?.let(claimAges::unchangedForUs) ?: return false
         return unchangedForUs > AGENT_REDIRECT_PERIOD
     }
 
-    /** The controller that places [job] first: the holder of its partition in the first zone. */
+    /** The controller that is the first to place [job]: the owner of its partition's shard in the first zone. */
     fun preferredController(job: JobId): NodeId? = directory.preferredController(job)
 
-    /** Whether the lease of [node] holds. */
+    /** Whether [node] has a valid lease. */
     fun isLive(node: NodeId): Boolean = directory.isLive(node)
 
-    /** What must hold for a placement on [machine] to be this controller's to make; empty: its zone is not known. */
+    /** The guards under which this controller may commit a placement on [machine]; empty if the zone of the machine is unknown. */
     fun guards(machine: MachineId): List<Guard> = directory.guards(machine)
 
-    /** Claims what this controller is to hold; to be called in each step. */
+    /** Claims the shards and the leadership that this controller should own. Must be called in each step. */
     fun tick() {
         if (!stateStore.isServing || context.now < nextTickUs) return
         nextTickUs = context.now + TICK_INTERVAL
@@ -87,9 +92,9 @@
     }
 
     /**
-     * Takes over a machine that its controller [from] does not serve, and runs [then] when that is decided, or at once if
-     * [from] does not command it any more: with its whole shard if [wholeShard], since a write for each of hundreds of machines
-     * would take longer than their leases.
+     * Takes over a machine that its controller [from] does not serve. With [wholeShard] its whole shard is claimed, because
+     * writes for each of hundreds of machines would take longer than their leases. [then] is called when the outcome is
+     * known, or at once if [from] does not command the machine any more.
      */
     fun takeOver(
         machine: MachineId,
@@ -99,16 +104,17 @@
         then: () -> Unit,
     ) = machineControl.takeOver(machine, wholeShard, from, reason, then)
 
-    /** Writes the record that commands [machine] anew, so that its token rises above all that was sent before. */
+    /** Rewrites the claim that controls [machine], which raises its fencing token above the tokens of all earlier commands. */
     fun raiseToken(
         machine: MachineId,
         reason: String,
     ) = machineControl.raiseToken(machine, reason)
 
     /**
-     * Takes machines from their shards' owners, whose guards fail from the write on: it raises their shards'
-     * epochs. What they placed before has a lower revision, so once our records are as new as the borrowing,
-     * they show all of it. Only the leader borrows; [then] runs for each machine once its borrowing is committed.
+     * Borrows machines from the owners of their shards. The same transaction raises the epochs of these shards, so that
+     * the guards of later placements by the owners fail. Earlier placements have a lower revision than the borrowing, so the
+     * local records show all of them as soon as they show the borrowing. Only the leader borrows; [then] is called for
+     * each machine when its borrowing is committed.
      */
     fun borrow(
         machines: Collection<MachineId>,
@@ -119,11 +125,11 @@
     fun returnBorrowed(machine: MachineId) = machineControl.returnBorrowed(machine)
 
     companion object {
-        /** Into how many partitions machines and jobs hash; fixed for ever, since keys and claims depend on it. */
+        /** Number of partitions that machines and jobs hash into. It must never change, because keys and claims depend on it. */
         const val PARTITIONS = 12
         private const val TICK_INTERVAL: Micros = 100 * MILLI
 
-        /** Within it an agent that was refused by other controllers reaches the one that commands it. */
+        /** Time within which an agent that other controllers have redirected reaches the one that commands it. */
         private const val AGENT_REDIRECT_PERIOD: Micros = 10 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
@@ -10,7 +10,7 @@
 import mintpick.store.Keys
 import mintpick.wire.Guard
 
-/** Which shard a machine belongs to, and who holds which shard, by the committed claims. */
+/** Maps machines to shards, and shards to their owners by the committed claims. */
 internal class ShardDirectory(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
@@ -19,16 +19,16 @@
     private val shardByMachine = HashMap<MachineId, Int>()
     private val cache get() = context.cache
 
-    /** How many shards there are: each partition has one in every zone. */
+    /** Number of shards: each partition has one in every zone. */
     val shardCount: Int = ShardClaims.PARTITIONS * zones.size
 
     /** Whether this controller is the leader. */
     val isLeader: Boolean get() = isOwn(cache.leader)
 
-    /** The partition that a machine or job hashes into, in every zone. */
+    /** The partition that the name of a machine or job hashes into; it is the same in every zone. */
     fun partition(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
 
-    /** Notes the zone of [machine], which it keeps; before that nobody commands it. */
+    /** See [ShardClaims.register]. */
     fun register(
         machine: MachineId,
         zone: String,
@@ -36,12 +36,12 @@
         shardByMachine.getOrPut(machine) { maxOf(0, zones.indexOf(zone)) * ShardClaims.PARTITIONS + partition(machine.text) }
     }
 
-    /** Forgets the zone of [machine]. */
+    /** Removes the zone of [machine]. */
     fun forget(machine: MachineId) {
         shardByMachine.remove(machine)
     }
 
-    /** The shard of [machine]; null: its zone is not known. */
+    /** The shard of [machine]; null if its zone is unknown. */
     fun shard(machine: MachineId): Int? {
         shardByMachine[machine]?.let { return it }
         register(machine, cache.machines[machine]?.record?.zone ?: return null)
@@ -55,17 +55,17 @@
         return claim.takeUnless { isSuperseded(machine, it) }
     }
 
-    /** Whether [claim], of the shard of [machine], is older than the end of a borrowing of the machine. */
+    /** Whether [claim], the claim of the shard of [machine], is older than the end of a borrowing of the machine. */
     fun isSuperseded(
         machine: MachineId,
         claim: Claim,
     ): Boolean = claim.version < (cache.borrowEndRevisions[machine] ?: 0)
 
-    /** Key of the record that control of [machine] is claimed by; null: its zone is not known. */
+    /** Key of the claim record that controls [machine]; null if its zone is unknown. */
     fun controlKey(machine: MachineId): String? =
         if (machine in cache.borrows) Keys.borrow(machine.text) else shard(machine)?.let { Keys.shard(it) }
 
-    /** Whether [claim] is held by this process: not one of an earlier process under the same name, whose lease differs. */
+    /** See [ShardClaims.isOwn]. */
     fun isOwn(claim: Claim?): Boolean = claim != null && claim.node == context.self && claim.lease == stateStore.lease
 
     /** Whether this controller commands [machine]. */
@@ -74,7 +74,7 @@
     /** See [ShardClaims.preferredController]. */
     fun preferredController(job: JobId): NodeId? = cache.claims[partition(job.text)]?.node
 
-    /** Whether the lease of [node] holds. */
+    /** Whether [node] has a valid lease. */
     fun isLive(node: NodeId): Boolean = node == context.self || node in cache.nodes
 
     /** See [ShardClaims.guards]. */
--- a/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
@@ -9,7 +9,7 @@
 import mintpick.engine.state.StateStoreClient
 import mintpick.store.Keys
 
-/** Claims shards and the leadership for this controller, so that each controller gets its share of every zone. */
+/** Claims shards and the leadership for this controller, and balances the shards of every zone among the controllers. */
 internal class ShardRebalancer(
     private val context: EngineContext,
     private val stateStore: StateStoreClient,
@@ -22,7 +22,7 @@
     private val configuredNodes = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
     private val isStarting: Boolean get() = context.now - stateStore.servingSinceUs <= START_PERIOD
 
-    /** Claims what this controller is to hold and does not. */
+    /** Claims what this controller should own and does not own yet. */
     fun tick() {
         claimLeader()
         restoreShards()
@@ -34,7 +34,7 @@
 
     private fun claimLeader() {
         val leader = cache.leader
-        // Our own earlier process held it: nobody else can.
+        // Other controllers do not claim the leadership while a claim of an earlier process of this one exists.
         if (leader == null || isOfEarlierProcess(leader)) {
             writer.claim(listOf(ClaimTarget(Keys.LEADER, leader?.version ?: 0)), "leader")
         }
@@ -42,20 +42,20 @@
 
     private fun isOfEarlierProcess(claim: Claim): Boolean = claim.node == context.self && claim.lease != stateStore.lease
 
-    /** Claims of this node's earlier process are written anew: their lease is about to end. */
+    /** Rewrites shard claims of an earlier process of this controller, whose lease is about to expire. */
     private fun restoreShards() {
         val stale = cache.claims.filterValues(::isOfEarlierProcess)
         if (stale.isNotEmpty()) writer.claim(shardTargets(stale), "restored")
     }
 
-    /** As [restoreShards], for borrowed machines. */
+    /** Rewrites borrow claims of an earlier process; see [restoreShards]. */
     private fun restoreBorrows() {
         val stale = cache.borrows.filterValues(::isOfEarlierProcess)
         val targets = stale.map { (machine, claim) -> ClaimTarget(Keys.borrow(machine.text), claim.version) }
         if (targets.isNotEmpty()) writer.claim(targets, "restored")
     }
 
-    /** Own claims that a borrowing has superseded are written anew, so that their token exceeds the borrower's. */
+    /** Rewrites own claims that a borrowing has superseded, so that their tokens exceed the borrower's. */
     private fun renewSupersededClaims() {
         val shards =
             cache.borrowEndRevisions.keys.mapNotNullTo(HashSet()) { machine ->
@@ -68,10 +68,11 @@
         if (targets.isNotEmpty()) writer.claim(targets, "superseded")
     }
 
+    /** Claims shards without a claim, up to this controller's share of all shards. */
     private fun claimFreeShards() {
         val free = (0 until directory.shardCount).filter { it !in cache.claims }
         if (free.isEmpty()) return
-        // Just after a start the others are about to come, too: each takes what it is preferred for among all.
+        // Shortly after a start, peers are expected to join too: preferences are then based on all configured controllers.
         val nodes = if (isStarting) configuredNodes else liveNodes()
         val owned = cache.claims.values.count { it.node == context.self }
         val share = ceilDiv(directory.shardCount, maxOf(1, nodes.size))
@@ -81,15 +82,15 @@
         if (targets.isNotEmpty()) writer.claim(targets, "free")
     }
 
-    /** For how long a free shard is left to the node that it is preferred for; the others then try one after the other. */
+    /** How long a free shard is left to its preferred node. Afterwards the other nodes try to claim it one after the other. */
     private fun maxWaitForPreferred(nodes: List<NodeId>): Micros {
         val rank = nodes.indexOf(context.self).coerceAtLeast(0)
         return (rank + 1) * CLAIM_STAGGER + if (isStarting) START_PERIOD else 0
     }
 
-    /** Claims of long standing are taken back by their preferred nodes, so that each controller has its share of every zone. */
+    /** Claims shards that this controller is preferred for from other owners, if their claims are older than [MIN_CLAIM_AGE]. */
     private fun rebalance() {
-        // Only while all are in touch: so what each is to hold does not change with those that come and go.
+        // Requires hints from all peers, so that the distribution does not change whenever a controller leaves or joins.
         if (context.now - stateStore.servingSinceUs < START_PERIOD) return
         if (!connectivity.hasHintsFromAllPeers || !connectivity.canReachAgents) return
         val misplaced = cache.claims.filter { (shard, claim) -> isMisplaced(shard, claim) }
@@ -106,7 +107,7 @@
 
     private fun liveNodes(): List<NodeId> = cache.nodes.keys.sortedBy { it.text }
 
-    /** Which of [nodes] holds [shard] once all claims are balanced. */
+    /** The one of [nodes] that owns [shard] when all claims are balanced. */
     private fun preferredNode(
         shard: Int,
         nodes: List<NodeId>,
@@ -121,13 +122,13 @@
     ): Int = (dividend + divisor - 1) / divisor
 
     private companion object {
-        /** Within it after the join, other controllers are expected to join too. */
+        /** Time after this controller has joined during which other controllers are expected to join too. */
         const val START_PERIOD: Micros = 3 * SECOND
 
-        /** Between the attempts of controllers at a shard that none of them is preferred for. */
+        /** Delay between the attempts of successive controllers to claim a shard that they are not preferred for. */
         const val CLAIM_STAGGER: Micros = 300 * MILLI
 
-        /** For how long a claim has stood at least before it is taken from its holder. */
+        /** Shortest time that a claim must have been unchanged before it is rebalanced. */
         const val MIN_CLAIM_AGE: Micros = 25 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/EngineContext.kt
@@ -10,32 +10,32 @@
 import java.util.random.RandomGenerator
 
 /**
- * What all parts of the engine share: settings, the clock of the current step, the local cache of the records, and the
- * way to the outside. Event-loop thread only.
+ * Shared by all parts of the engine: settings, the clocks of the current step, the local cache of the state store's records,
+ * and the effects to perform after the step. Event-loop thread only.
  */
 class EngineContext(
     val settings: Settings,
     val random: RandomGenerator,
 ) {
-    /** This controller. */
+    /** The identifier of this controller. */
     val self = NodeId(settings.node)
 
-    /** The copy of the state service's records; another object after each [resetCache]. */
+    /** The local copy of the state store's records. [resetCache] replaces it by a new object. */
     var cache = LocalCache()
         private set
 
-    /** Steady time of the current step, in microseconds. */
+    /** Monotonic clock at the current step, in microseconds. */
     var now: Micros = 0
         private set
 
-    /** Time of day of the current step, in microseconds since the epoch. */
+    /** Wall clock at the current step, in microseconds since 1970. */
     var wallClockUs: Micros = 0
         private set
     private val effects = ArrayList<Effect>()
     private val callbacks = HashMap<Long, (Outcome) -> Unit>()
     private var lastCall = 0L
 
-    /** Begins a step at steady time [now] and time of day [wallClockUs], both in microseconds. */
+    /** Starts a step at the monotonic time [now] and the wall-clock time [wallClockUs], both in microseconds. */
     fun startStep(
         now: Micros,
         wallClockUs: Micros,
@@ -44,7 +44,7 @@
         this.wallClockUs = wallClockUs
     }
 
-    /** The effects since the last call of this function, in the order in which they were asked for. */
+    /** Removes and returns all effects requested since the last call, in the order of the requests. */
     fun takeEffects(): List<Effect> {
         val taken = effects.toList()
         effects.clear()
@@ -59,7 +59,7 @@
         effects += Effect.Send(reply, answer)
     }
 
-    /** Starts [call] at the end of this step; [then] gets its outcome in a later one. */
+    /** Starts [call] at the end of this step; [then] receives its outcome in a later step. */
     fun call(
         call: Call,
         then: (Outcome) -> Unit,
@@ -69,7 +69,7 @@
         effects += Effect.Start(id, call)
     }
 
-    /** Hands the outcome of call [id] to who started it; an unknown id, or one that has ended already, is ignored. */
+    /** Passes the outcome of call [id] to the callback given with the call. Unknown and already completed calls are ignored. */
     fun callDone(
         id: Long,
         outcome: Outcome,
@@ -77,7 +77,7 @@
         callbacks.remove(id)?.invoke(outcome)
     }
 
-    /** Empties the cache by replacing it: changes were missed that the state service's log no longer has. */
+    /** Replaces the cache by an empty one. Needed after missing changes that the state store's log no longer contains. */
     fun resetCache() {
         cache = LocalCache()
     }
--- a/src/main/kotlin/mintpick/engine/runtime/Events.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/Events.kt
@@ -8,13 +8,13 @@
 import mintpick.wire.MachineReport
 import mintpick.wire.PeerHint
 
-/** Where an answer goes. The engine answers each handle exactly once. */
+/** Handle for answering a request. The engine answers each handle exactly once. */
 fun interface ReplyTo {
-    /** Sends [answer] to who made the request. */
+    /** Sends [answer] to the sender of the request. */
     fun answer(answer: Answer)
 }
 
-/** What reaches the event loop from outside. */
+/** An input to the event loop. */
 sealed interface Event {
     /** A user submits a job. */
     class Submit(
@@ -22,14 +22,14 @@
         val reply: ReplyTo,
     ) : Event
 
-    /** A submission that breaks the format, for [reason], of a job that may have been accepted before. */
+    /** A submission with an invalid format, described by [reason]. The job [id] may have been accepted before. */
     class Malformed(
         val id: JobId,
         val reason: String,
         val reply: ReplyTo,
     ) : Event
 
-    /** A user asks for the state of a job. */
+    /** A user requests the state of a job. */
     class Poll(
         val id: JobId,
         val reply: ReplyTo,
@@ -41,39 +41,39 @@
         val reply: ReplyTo,
     ) : Event
 
-    /** A worker's heartbeat with status; the answer carries its commands. */
+    /** An agent's heartbeat; the answer carries the commands for it. */
     class Report(
         val report: MachineReport,
         val reply: ReplyTo,
     ) : Event
 
-    /** Another controller sends its status; the answer is the status of this one. */
+    /** A hint from a peer; the answer is the hint of this controller. */
     class Hint(
         val hint: PeerHint,
         val reply: ReplyTo,
     ) : Event
 
-    /** The status page is asked for. */
+    /** An operator requests the status page. */
     class StatusRequest(
         val reply: ReplyTo,
     ) : Event
 
-    /** Call [id], which an [Effect.Start] began, has ended. */
+    /** Call [id], started by an [Effect.Start], has ended with [outcome]. */
     class CallDone(
         val id: Long,
         val outcome: Outcome,
     ) : Event
 }
 
-/** What the engine wants done outside. */
+/** An output of the engine, performed by the event loop. */
 sealed interface Effect {
-    /** Answer a request. */
+    /** Sends [answer] to the sender of a request. */
     class Send(
         val reply: ReplyTo,
         val answer: Answer,
     ) : Effect
 
-    /** Start [call]; its outcome comes back as an [Event.CallDone] with the same [id]. */
+    /** Starts [call]; its outcome is returned as an [Event.CallDone] with the same [id]. */
     class Start(
         val id: Long,
         val call: Call,
--- a/src/main/kotlin/mintpick/engine/runtime/TokenBucket.kt
+++ b/src/main/kotlin/mintpick/engine/runtime/TokenBucket.kt
@@ -3,8 +3,8 @@
 import mintpick.core.Micros
 
 /**
- * A token bucket over the engine's clock: it fills by [perSecond] tokens a second up to [burst], and starts full. Times are
- * microseconds of the steady clock and never go back. Event-loop thread only.
+ * A token bucket. It starts full and is refilled with [perSecond] tokens per second, up to [burst]. Times are in microseconds
+ * of the monotonic clock and must never decrease. Event-loop thread only.
  */
 class TokenBucket(
     private val perSecond: Double,
@@ -13,14 +13,14 @@
     private var tokens = burst
     private var refilledUs: Micros = 0
 
-    /** Tokens at [now]; below zero after [force] has overdrawn them. */
+    /** Number of tokens at [now]; negative while [charge] has overdrawn the bucket. */
     fun available(now: Micros): Double {
         tokens = minOf(burst, tokens + (now - refilledUs) * perSecond / MICROS_PER_SECOND)
         refilledUs = now
         return tokens
     }
 
-    /** Takes [amount] tokens if that many are there at [now]; false if not. */
+    /** Takes [amount] tokens if they are available at [now]; returns false otherwise. */
     fun take(
         now: Micros,
         amount: Double,
@@ -30,7 +30,7 @@
         return true
     }
 
-    /** Takes [amount] tokens at [now] even if they are not there; who uses [take] later waits for them. */
+    /** Takes [amount] tokens at [now] even if they are not available. [take] then fails until they have been refilled. */
     fun charge(
         now: Micros,
         amount: Double,
--- a/src/main/kotlin/mintpick/engine/scheduling/AssignmentAges.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/AssignmentAges.kt
@@ -5,14 +5,14 @@
 import mintpick.core.Micros
 import mintpick.engine.runtime.EngineContext
 
-/** When this controller first saw each assignment: the start of its protected window at the latest. */
+/** Records when this controller first saw each assignment of a task. The protected minimum runtime started then or earlier. */
 internal class AssignmentAges(
     private val context: EngineContext,
 ) {
     private val firstSeenByAttempt = HashMap<AttemptId, Micros>()
     private var cleanupThreshold = MIN_CLEANUP_THRESHOLD
 
-    /** Notes what is assigned to the [changedMachines] machines, and forgets assignments that are over once there are many. */
+    /** Records the assignments on [changedMachines]. Removes assignments that have ended if there are many entries. */
     fun observe(changedMachines: Collection<MachineId>) {
         for (machine in changedMachines) {
             for ((task, attempt) in context.cache.tasksOn(machine)) {
@@ -29,10 +29,10 @@
         return job.placement(attempt.task.index)?.attempt == attempt.attempt
     }
 
-    /** When [attempt] was first seen; now if it is new. */
+    /** When [attempt] was first seen; the current time if it has not been seen before. */
     fun firstSeenUs(attempt: AttemptId): Micros = firstSeenByAttempt[attempt] ?: context.now
 
-    /** For how long [attempt] has been assigned, as far as this controller has seen it. */
+    /** Time since this controller first saw [attempt] assigned. */
     fun ageUs(attempt: AttemptId): Micros = context.now - firstSeenUs(attempt)
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
@@ -18,7 +18,7 @@
 import mintpick.wire.MachineType
 import mintpick.wire.Retiring
 
-/** Which machines may be given work, and how much room they have. Event-loop thread only. */
+/** Finds the machines that may be given tasks, with their free resources. Event-loop thread only. */
 class CandidateFinder(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
@@ -31,16 +31,16 @@
         val machine: KnownMachine,
         val claim: Claim,
         val isOwn: Boolean,
-        /** Images that another controller says are on it. */
+        /** Images on the machine according to a peer hint. */
         val hintedImages: Set<String>,
     )
 
     private val cache get() = context.cache
 
-    /** How many machines this controller commands, whether or not they may be given work. */
+    /** Number of machines that this controller controls, including those that may not be given tasks. */
     val ownMachineCount: Int get() = agents.controlledMachines.size
 
-    /** Room on this controller's own machines, less what [jobUpdates] has under way. */
+    /** Candidates among this controller's machines. Resources reserved by placements of [jobUpdates] in flight are not free. */
     fun ownCandidates(jobUpdates: JobUpdateWriter): List<CandidateMachine> =
         agents.controlledMachines.mapNotNull { id ->
             val machine = cache.machines[id] ?: return@mapNotNull null
@@ -49,7 +49,7 @@
             toCandidate(ClaimedMachine(machine, claim, isOwn = true, emptySet()), jobUpdates)
         }
 
-    /** Room on the other controllers' machines that they have heard from lately. */
+    /** Candidates among the peers' machines from which a peer has recently received a heartbeat. */
     fun peerCandidates(jobUpdates: JobUpdateWriter): List<CandidateMachine> =
         health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
             val machine = cache.machines[id] ?: return@mapNotNull null
@@ -58,7 +58,7 @@
             toCandidate(ClaimedMachine(machine, claim, isOwn = false, images), jobUpdates)
         }
 
-    /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
+    /** Number of placed tasks of [job] in each zone; empty if the job has no zone rule. */
     fun tasksPerZone(job: Job): Map<String, Int> {
         if (!job.spec.spread && !job.spec.oneZone) return emptyMap()
         val counts = HashMap<String, Int>()
@@ -78,8 +78,8 @@
         if (type == null || !acceptsWork(machine)) return null
         val view = agents.view(machine.id)
         if (view != null && commandPlanner.isDraining(view, claimed.claim)) return null
-        val isAcquiring = claimed.isOwn && agents.isAwaitingConfirmation(machine.id)
-        if (claimed.isOwn && !isAcquiring && !isUsable(view)) return null
+        val isAwaitingConfirmation = claimed.isOwn && agents.isAwaitingConfirmation(machine.id)
+        if (claimed.isOwn && !isAwaitingConfirmation && !isUsable(view)) return null
         return CandidateMachine(
             machine = machine.id,
             type = machine.record.type,
@@ -90,7 +90,7 @@
             hasImage = { view?.hasImage(it) == true || it in claimed.hintedImages },
             isOwned = claimed.isOwn,
             preemptible = cache.usedOn(machine.id) - cache.usedByServicesOn(machine.id),
-            isReady = !isAcquiring,
+            isReady = !isAwaitingConfirmation,
         )
     }
 
@@ -99,14 +99,17 @@
             !reconciler.isTerminated(machine.id) &&
             reconciler.acceptsStarts(machine.id)
 
-    /** What the records show as free, with what is known to have ended and without what is on its way to be stored. */
+    /** Free resources by the records, plus those of tasks known to have ended, minus those of placements in flight. */
     private fun freeResourcesOn(
         machine: MachineId,
         type: MachineType,
         jobUpdates: JobUpdateWriter,
     ): Resources = type.capacity - cache.usedOn(machine) + reconciler.freedOn(machine) - jobUpdates.reservedOn(machine)
 
-    /** In touch both ways: nothing is placed where commands may not arrive, however many heartbeats come. */
+    /**
+     * Whether the machine is not faulty, its heartbeats arrive, and commands reach it. Nothing is placed where commands may not
+     * arrive, even if heartbeats do.
+     */
     private fun isUsable(view: MachineView?): Boolean =
         view != null &&
             agents.isConfirmed(view) &&
--- a/src/main/kotlin/mintpick/engine/scheduling/FairShareRanks.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FairShareRanks.kt
@@ -1,9 +1,9 @@
 package mintpick.engine.scheduling
 
-/** The teams' ranks by fair share, the team to be served first lowest; equals share a rank. */
+/** The teams' ranks by fair share. The team to be served first has the lowest; equal teams share a rank. */
 class FairShareRanks(
     private val byTeam: Map<String, Int>,
 ) {
-    /** The rank of [team]; a team without a share comes last. */
+    /** The rank of [team]; a team that is not in the budget tree comes last. */
     fun of(team: String): Int = byTeam[team] ?: Int.MAX_VALUE
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
@@ -9,17 +9,17 @@
 import mintpick.engine.membership.ShardClaims
 import mintpick.engine.runtime.EngineContext
 
-/** Holds back jobs that fail wherever they run, as any controller has found. Event-loop thread only. */
+/** Limits starts of jobs that fail on every machine, as found by this controller or a peer. Event-loop thread only. */
 class FaultyJobThrottle(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val reconciler: Reconciler,
     private val health: ControllerHealth,
 ) {
-    /** Whether the backoff of [job] after its last failure is over; true if none of its tasks failed. */
+    /** Whether the backoff after the last failure of [job] is over; true if none of its tasks failed. */
     fun mayRetry(job: JobId): Boolean = reconciler.mayRetry(job)
 
-    /** How many of the waiting tasks of [job] may start now: of a faulty one a single probe, at its preferred controller. */
+    /** Number of waiting tasks of [job] that may start now. A faulty job may only run one probe, on its preferred controller. */
     fun startableTasks(job: Job): Int {
         if (!isFaulty(job)) return job.waiting
         val preferred = shardClaims.preferredController(job.id)
@@ -28,8 +28,9 @@
     }
 
     /**
-     * Whether any controller has found that [job] fails wherever it runs, and none of its tasks has completed since. Services
-     * never complete: of them only the controller itself knows when they have recovered.
+     * Whether any controller has found that [job] fails on every machine, and none of its tasks has completed. Tasks of services
+     * never complete, and only the controller that found a service faulty learns of its recovery. Peers' findings about services
+     * are therefore ignored.
      */
     fun isFaulty(job: Job): Boolean {
         if (job.done > 0) return false
--- a/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
@@ -11,7 +11,7 @@
 import mintpick.engine.runtime.EngineContext
 import mintpick.wire.StoredStage
 
-/** Jobs that their teams' guarantees pay for, judged anew ten times a second. Jobs that wait for others are left out. */
+/** The jobs that their teams' guarantees pay for, reevaluated ten times a second. Excludes jobs with unfinished predecessors. */
 internal class FundedJobs(
     private val context: EngineContext,
 ) {
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Places the tasks of one job: picks machines, and drafts the assignments. Event-loop thread only.
+ * Places the tasks of one job: selects machines and drafts the assignments. Event-loop thread only.
  *
- * @param placementSample how many machines with room are compared for one job
+ * @param placementSample number of machines with free capacity that are compared for one job
  */
 class JobPlacer(
     private val context: EngineContext,
@@ -36,13 +36,14 @@
 ) {
     private val placer = Placer(context.random, placementSample)
 
-    /** Each borrowed machine has a guard of its own, of which a transaction holds only so many. */
+    /** Each borrowed machine needs a guard of its own, and the number of guards in a transaction is limited. */
     private val maxBorrowedMachines = context.settings.limits.transactionOps
     private val cache get() = context.cache
 
     /**
-     * Places up to [startable] tasks of [job] on [candidates], one view of the candidates of [pass]. Returns how many were drafted: 0
-     * also where room was found and is held, but a write, a borrowed machine or the next round of parts is waited for.
+     * Places up to [startable] tasks of [job] on [candidates], one of the views in [pass]. Returns the number of drafted tasks. It
+     * is 0 also if capacity was found and reserved, but the placement must wait for write budget, for a machine to be borrowed, or
+     * for the next partial placement.
      */
     fun place(
         job: Job,
@@ -70,7 +71,7 @@
         return minOf(pass.teamQuota.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
     }
 
-    /** Gangs start whole or not at all. */
+    /** Whether [count] tasks are too few to start [job]. A gang starts only as a whole. */
     private fun isIncompleteGang(
         job: Job,
         count: Int,
@@ -83,8 +84,8 @@
         candidates: Candidates,
         pass: PlacementPass,
     ): Int {
-        // Parts of jobs are placed now and then, not for each task that ends or machine that comes up, since each costs
-        // a write: the room is held for them meanwhile.
+        // Partial placements are rate-limited instead of being made for each task that ends or machine that boots, since each costs
+        // a write. The capacity stays reserved for the job in the meantime.
         val isPartial = placeable.size < job.waiting
         if (isPartial && !pass.mayPlacePartially) return 0
         val draft = pass.draftOf(job.id) ?: return 0
@@ -112,7 +113,7 @@
         return placer.place(request, candidates)
     }
 
-    /** Holds the room of [found] for the rest of the pass, and asks for those machines that have to be borrowed first. */
+    /** Reserves the capacity of [found] for the rest of the pass, and requests the machines that must be borrowed first. */
     private fun reserve(
         found: List<PlacedTask>,
         job: Job,
@@ -120,7 +121,7 @@
         pass: PlacementPass,
     ) {
         for (placement in found) candidates.take(placement.machine, job.spec.demand)
-        // A machine that is borrowed takes work only after the old owner has surely stopped placing there.
+        // Tasks are placed on a borrowed machine only after its previous owner has certainly stopped placing tasks there.
         for (placement in found) {
             if (candidates[placement.machine]?.isOwned == false) pass.machinesToBorrow += placement.machine
         }
@@ -134,7 +135,7 @@
         return candidate.isOwned && candidate.isReady
     }
 
-    /** Adds [placements] to [draft] as far as a transaction has room for them, and returns how many. */
+    /** Adds as many of [placements] to [draft] as fit into a transaction, and returns the number added. */
     private fun assign(
         placements: List<PlacedTask>,
         draft: JobUpdate,
@@ -170,7 +171,7 @@
         return draft.addMachineGuards(shardClaims.guards(machine))
     }
 
-    /** Whether there is room for a task of [job] on [candidates]. False for gangs, for which room for one task says nothing. */
+    /** Whether a task of [job] fits on [candidates]. False for gangs: that one task fits says nothing about the whole gang. */
     fun couldPlace(
         job: Job,
         candidates: Candidates,
@@ -185,9 +186,9 @@
     }
 
     /**
-     * Whether [job] may be placed on spot machines only. Spare-time work (the lowest priority) leaves ordinary machines alone,
-     * which would never be empty and returned with it, unless its tasks are short, or nothing of it runs and it has waited for
-     * long: where there are no spot machines it is served all the same.
+     * Whether [job] may be placed on spot machines only. This holds for jobs of the lowest priority: they would keep on-demand
+     * machines from becoming empty and being released. Exceptions are jobs with short tasks, and jobs that have waited for
+     * [SPOT_ONLY_PERIOD] without a running task, so that they also run where there are no spot machines.
      */
     fun isSpotOnly(job: Job): Boolean {
         if (!job.spec.spot) return false
@@ -196,7 +197,10 @@
         return job.placed > 0 || context.wallClockUs - jobUrgency.readySinceUs(job) < SPOT_ONLY_PERIOD
     }
 
-    /** Borrows the machines that [pass] has found room on, if any, and pushes them their token once they are borrowed. */
+    /**
+     * Borrows the machines of other controllers on which [pass] found capacity. When a borrowing is committed, the machine is sent
+     * its new fencing token at once.
+     */
     fun borrowMachines(pass: PlacementPass) {
         if (pass.machinesToBorrow.isNotEmpty()) shardClaims.borrow(pass.machinesToBorrow, agents::pushCommands)
     }
@@ -205,7 +209,7 @@
         val LOG = LoggerFactory.getLogger(JobPlacer::class.java)
         const val MAX_TASKS_PER_PLACEMENT = 512
 
-        /** Tasks that are over before their machine would be returned as idle, in seconds. */
+        /** Longest estimate of tasks that count as short: they end before their machine would be released as idle. */
         const val SHORT_TASK_MAX_S = 20.0
         const val SPOT_ONLY_PERIOD: Micros = 120 * SECOND
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/JobQueue.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobQueue.kt
@@ -8,11 +8,11 @@
 import mintpick.engine.runtime.EngineContext
 
 /**
- * The order in which waiting jobs are served: between teams by funding and fair share, within a team by arrival, size and
- * deadline. Event-loop thread only.
+ * Orders waiting jobs: between teams by funding and fair share, within a team by arrival, size and deadline. Event-loop thread
+ * only.
  *
- * @param sizeHandicap by how many times the run time of its remaining work on the whole cluster a job falls back behind
- *   smaller ones of its team
+ * @param sizeHandicap multiplies the time that a job's remaining work would take on the whole cluster; the product is added to the
+ *   job's arrival, so that smaller jobs of its team pass it
  */
 class JobQueue(
     private val context: EngineContext,
@@ -20,7 +20,7 @@
     private val jobUrgency: JobUrgency,
     private val sizeHandicap: Double,
 ) {
-    /** All of [jobs], first the one to be served first. */
+    /** All of [jobs], sorted with the job to be placed first at the front. */
     fun inQueueOrder(jobs: Collection<Job>): List<Job> {
         val clusterCpus = context.cache.totalCpus
         val fairShareRanks = usageAccounting.fairShareRanks()
@@ -42,9 +42,9 @@
     }
 
     /**
-     * A team's own jobs go in order of arrival, but small ones pass large ones: a job counts as having arrived later by a
-     * multiple of the time that its remaining work would take on the whole cluster. Bounded, so that waiting makes up for any
-     * size: without the bound the largest would never begin while small ones keep coming.
+     * When [job] counts as having arrived. The jobs of a team are ordered by arrival, but small jobs pass large ones: a multiple of
+     * the time that the remaining work would take on the whole cluster is added. This handicap is bounded so that waiting outweighs
+     * any size. Without the bound, the largest jobs would never start while small ones keep arriving.
      */
     private fun effectiveArrivalUs(
         job: Job,
@@ -55,12 +55,12 @@
         val handicapUs = minOf((clusterSeconds * sizeHandicap * SECOND).toLong(), MAX_SIZE_HANDICAP)
         val arrivalUs = jobUrgency.readySinceUs(job) + handicapUs
         val latestStartUs = urgency.latestStartUs ?: return arrivalUs
-        // A job with little slack counts as having arrived earlier; one with much slack loses nothing.
+        // Little slack before the deadline makes a job count as having arrived earlier; ample slack does not move it back.
         return minOf(arrivalUs, latestStartUs - AMPLE_SLACK)
     }
 
     private companion object {
-        /** A job whose latest start is farther away than this gains nothing from its deadline. */
+        /** A deadline moves a job forward only if its latest start is less than this after its arrival. */
         const val AMPLE_SLACK: Micros = 60 * SECOND
         const val MAX_SIZE_HANDICAP: Micros = 30 * SECOND
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/JobRecordAges.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobRecordAges.kt
@@ -5,7 +5,7 @@
 import mintpick.core.Micros
 import mintpick.engine.runtime.EngineContext
 
-/** For how long this controller has seen the records of waiting jobs unchanged. Event-loop thread only. */
+/** Tracks how long this controller has seen the records of waiting jobs unchanged. Event-loop thread only. */
 internal class JobRecordAges(
     private val context: EngineContext,
 ) {
@@ -16,7 +16,7 @@
 
     private val observations = HashMap<JobId, Observation>()
 
-    /** Notes the version of [job], and returns for how long its record has not changed. */
+    /** Records the version of [job], and returns how long its record has been unchanged. */
     fun observe(job: Job): Micros {
         val earlier = observations[job.id]
         if (earlier?.version == job.version) return context.now - earlier.firstSeenUs
--- a/src/main/kotlin/mintpick/engine/scheduling/PassRateLimiter.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PassRateLimiter.kt
@@ -4,20 +4,20 @@
 import mintpick.core.Micros
 import mintpick.engine.runtime.EngineContext
 
-/** When the next scheduling pass is due, and when jobs may be placed in part. */
+/** Decides when the next scheduling pass is due, and when jobs may be placed partially. */
 internal class PassRateLimiter(
     private val context: EngineContext,
 ) {
     private var nextPassUs: Micros = 0
     private var nextPartialPlacementUs: Micros = 0
 
-    /** So many writes free, beyond those kept for submissions, that placements of parts of jobs need not wait for each other. */
+    /** Write budget, beyond the writes kept for submissions, from which on partial placements are not rate-limited. */
     private val unthrottledWriteBudget = context.settings.limits.writeRps / (context.settings.peers.size + 1) * UNTHROTTLED_WRITE_FRACTION
 
-    /** Whether the interval since the last pass is over. */
+    /** Whether the interval after the last pass has elapsed. */
     val isDue: Boolean get() = context.now >= nextPassUs
 
-    /** A pass begins with [queuedJobCount] stored as waiting and [ownMachineCount] to be examined. */
+    /** Records the start of a pass over [queuedJobCount] waiting jobs and [ownMachineCount] machines to be examined. */
     fun onPassStarted(
         queuedJobCount: Int,
         ownMachineCount: Int,
@@ -25,7 +25,10 @@
         nextPassUs = context.now + passInterval(queuedJobCount, ownMachineCount)
     }
 
-    /** The more jobs wait, the less another pass would find: writes are what is short then, and processor time is for answers. */
+    /**
+     * The time from one pass to the next. It grows with the number of waiting jobs, because writes are the bottleneck then: more
+     * frequent passes would place few more tasks, and the processor time is needed to answer requests.
+     */
     private fun passInterval(
         queuedJobCount: Int,
         ownMachineCount: Int,
@@ -36,17 +39,17 @@
                 queuedJobCount > SHORT_QUEUE_MAX_JOBS -> PASS_INTERVAL
                 else -> PASS_INTERVAL / 3
             }
-        // A pass examines each of this controller's machines: with hundreds of them it is their number that costs.
+        // A pass examines each of this controller's machines; with hundreds of machines, this dominates its cost.
         return interval + interval * ownMachineCount / MACHINES_PER_EXTRA_INTERVAL
     }
 
-    /** Whether so many jobs wait that a pass saves work where it can. */
+    /** Whether the queue is so long that passes save work, for example by examining only a sample of the machines. */
     fun isOverloaded(queuedJobCount: Int): Boolean = queuedJobCount > OVERLOAD_THRESHOLD_JOBS
 
-    /** Whether a pass with [writeBudget] writes may place parts of jobs. */
+    /** Whether a pass with a budget of [writeBudget] writes may place jobs partially. */
     fun mayPlacePartially(writeBudget: Int): Boolean = context.now >= nextPartialPlacementUs || writeBudget >= unthrottledWriteBudget
 
-    /** A pass has placed parts of jobs: the next ones wait for an interval. */
+    /** Records that a pass has placed jobs partially; the next partial placements wait for [PARTIAL_PLACEMENT_INTERVAL]. */
     fun onPartialPlacement() {
         nextPartialPlacementUs = context.now + PARTIAL_PLACEMENT_INTERVAL
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -11,58 +11,64 @@
 import mintpick.engine.jobs.JobUpdateWriter
 import mintpick.engine.transactions.JobUpdate
 
-/** The machines that one pass may place tasks on. What is taken of a machine is taken in both views. */
+/** The candidates of one pass, in two views. Capacity taken from a machine in one view is also taken in the other. */
 class PassCandidates(
-    /** The machines of this controller's shards and those that it borrows. */
+    /** The machines of this controller's shards, and those that it has borrowed. */
     val own: Candidates,
     peers: () -> List<CandidateMachine>,
 ) {
     /**
-     * Every controller's machines. Built only when asked for: only the leader needs them, and only for what no shard can hold.
-     * It is sorted by what is free when it is first asked for.
+     * The machines of all controllers. Built on first use, because only the leader needs them, and only for jobs that one
+     * controller's machines can't hold. Sorted by the capacity that is free at that moment.
      */
     val all: Candidates by lazy { own.with(peers()) }
 }
 
-/** What one scheduling pass works with, and what has come of it so far. */
+/** Inputs of one scheduling pass, and its results so far. */
 class PlacementPass(
     val jobUpdates: JobUpdateWriter,
-    /** The draft of a job's next transaction; null if the job can't be changed now. */
+    /** Returns the draft of a job's next transaction; null if the job can't be changed now. */
     val draftOf: (JobId) -> JobUpdate?,
     val candidates: PassCandidates,
     val teamQuota: TeamQuota,
-    /** So much waits that a sample of the machines has to do. */
+    /** Whether the queue is so long that placement examines only a sample of the machines. */
     val isOverloaded: Boolean,
-    /** Whether jobs may be placed in part in this pass. */
+    /** Whether jobs may be placed partially in this pass. */
     val mayPlacePartially: Boolean,
-    /** Most writes that the drafts of this pass may need. */
+    /** Maximum number of writes for the drafts of this pass. */
     private val writeBudget: Int,
 ) {
     /** Machines of other controllers on which tasks of this pass would fit. */
     val machinesToBorrow = LinkedHashSet<MachineId>()
 
-    /** Jobs that were not placed, or not whole, in the order of the queue. */
+    /** Jobs that were not placed or only partially, in queue order. */
     val unschedulable = ArrayList<Job>()
 
-    /** Writes that the placements of this pass need so far. */
+    /** Number of writes that the placements of this pass need so far. */
     var writesUsed = 0
 
-    /** Whether any job was placed in part. */
+    /** Whether any job was placed partially. */
     var hasPlacedPartially = false
 
-    /** Whether a job found no room, as against no write. */
+    /** Whether a job was not placed for lack of capacity, as opposed to lack of write budget. */
     var lacksCapacity = false
 
-    /** Whether a job could have been placed, but for a write. */
+    /** Whether a job was not placed for lack of write budget only. */
     var lacksWriteBudget = false
 
-    /** Whether a write is left for [job]. Batch jobs keep a part of them from production: one write starts many of their tasks. */
+    /**
+     * Whether write budget is left for [job]. A part of the budget is reserved for batch jobs, because one write starts many of
+     * their tasks.
+     */
     fun hasWriteBudgetFor(job: Job): Boolean {
         val maxWrites = if (job.spec.isProduction) maxOf(1, (writeBudget * PRODUCTION_WRITES_FRACTION).toInt()) else writeBudget
         return writesUsed < maxWrites
     }
 
-    /** Whether nothing but room is missing for [job]. For what its team's limit holds back nobody has to be preempted. */
+    /**
+     * Whether the team of [job] may place it now: the team's limit allows it, and no placement that raises the team's reservation
+     * is in flight. No tasks are preempted for a job that is delayed by its team's limit.
+     */
     fun teamAllows(job: Job): Boolean {
         val minTasks = if (job.spec.isGang) job.waiting else 1
         return jobUpdates.isTeamAvailable(job.spec.team) && teamQuota.tasks(job.spec) >= minTasks
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
@@ -12,8 +12,8 @@
 import mintpick.engine.runtime.EngineContext
 
 /**
- * Which controller places which job, and on whose machines: the split of the project's design, on top of "Ai2 replaces GPU
- * priority scheduling with time budgets and fair share". Event-loop thread only.
+ * Decides whether this controller may place a job, and on whose machines. This division of work between controllers is the
+ * project's own design, on top of "Ai2 replaces GPU priority scheduling with time budgets and fair share". Event-loop thread only.
  */
 class PlacementScopePolicy(
     private val context: EngineContext,
@@ -23,11 +23,12 @@
     private val controllers = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
 
     /**
-     * Where this controller may place [job], whose record has not changed for [unchangedUs]; null if others place it.
+     * The candidates on which this controller may place [job]; null if other controllers place it. The job's record has been
+     * unchanged for [unchangedUs].
      *
-     * The preferred controller places a job on the machines of its own shards; the leader takes what no controller's shards can
-     * hold as a whole, from everybody's machines. Exception: what the preferred controller has had no room for may be placed by
-     * another controller on its own machines, see docs/design.md.
+     * The preferred controller places a job on the machines of its own shards. The leader places jobs that no single controller's
+     * machines can hold as a whole, on the machines of all controllers. Exception: if the preferred controller may lack capacity,
+     * another controller may place the job on its own machines, see docs/design.md.
      */
     fun candidatesFor(
         job: Job,
@@ -46,12 +47,12 @@
         candidates: PassCandidates,
     ): Boolean {
         if (!mayNeedAllMachines(job, unchangedUs)) return false
-        // This controller's machines may hold a gang, were they empty, and never be empty at the same time.
+        // A gang may fit on this controller's machines if all are empty, but they may never be empty at the same time.
         val isStarvedGang = job.spec.isGang && unchangedUs >= LEADER_FALLBACK_DELAY
         return isStarvedGang || !candidates.own.couldHold(job.spec, job.waiting)
     }
 
-    /** Placed whole or not at all, or unschedulable for a while. */
+    /** Whether [job] is a gang, bound to one zone, or unplaced for so long that one controller's machines may not suffice. */
     private fun mayNeedAllMachines(
         job: Job,
         unchangedUs: Micros,
@@ -60,7 +61,10 @@
         return job.spec.isGang || job.spec.oneZone || unchangedUs >= LEADER_FALLBACK_DELAY
     }
 
-    /** Whether this controller may place what [preferred] has no room for; one helper later, so that two rarely write at once. */
+    /**
+     * Whether this controller may place [job] because [preferred] may lack capacity. The two other controllers have different delays,
+     * so they rarely write at the same time.
+     */
     private fun mayPlaceForPeer(
         job: Job,
         preferred: NodeId,
@@ -70,7 +74,7 @@
         return health.mayLackCapacity(preferred) && unchangedUs >= delay
     }
 
-    /** The job's id picks which of the two other controllers helps first. */
+    /** The job's id determines which of the two other controllers may place the job first. */
     private fun isFirstFallback(
         job: Job,
         preferred: NodeId,
@@ -88,7 +92,10 @@
         const val FIRST_FALLBACK_DELAY: Micros = 200 * MILLI
         const val SECOND_FALLBACK_DELAY: Micros = 1_500 * MILLI
 
-        /** An array that fits on no controller's machines is the leader's only then: while a cluster boots, nothing fits anywhere. */
+        /**
+         * How long the record of an array must be unchanged before the leader places it because it fits on no single controller's
+         * machines. While a cluster boots, nothing fits anywhere.
+         */
         const val LEADER_FALLBACK_DELAY: Micros = 15 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -28,8 +28,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Makes room for a job that its team's guarantee or its priority entitles to it, by preempting tasks that yield to it
- * ([PreemptionPolicy]). Of a sample of machines it takes the one on which the least work is lost. Event-loop thread only.
+ * Frees capacity for jobs that are entitled to it by their team's guarantee or their priority, by preempting the tasks that
+ * [PreemptionPolicy] allows. Of a sample of machines, chooses the one on which the least work is lost. Event-loop thread only.
  */
 class PreemptionPlanner(
     private val context: EngineContext,
@@ -44,7 +44,7 @@
         val reason: PreemptionReason,
     )
 
-    /** What would have to be preempted on one machine to make room for one task. */
+    /** The tasks to preempt on one machine to free capacity for one task. */
     private class Plan(
         val candidate: CandidateMachine,
         val victims: List<Victim>,
@@ -53,22 +53,22 @@
 
     private val assignmentAges = AssignmentAges(context)
 
-    /** Until when no room is sought for a job again. */
+    /** When preemption for a job may be attempted again. */
     private val jobCooldownUntilUs = HashMap<JobId, Micros>()
 
-    /** Until when a machine is left alone after a preemption. */
+    /** When tasks on a machine may be preempted again. */
     private val machineCooldownUntilUs = HashMap<MachineId, Micros>()
     private val cache get() = context.cache
 
-    /** Notes new assignments on the [changedMachines] machines. */
+    /** Records new assignments on [changedMachines]. */
     fun tick(changedMachines: Collection<MachineId>) {
         assignmentAges.observe(changedMachines)
         if (jobCooldownUntilUs.size > CLEANUP_THRESHOLD) jobCooldownUntilUs.values.removeIf { it < context.now }
     }
 
     /**
-     * Preempts for tasks of [job], which found no room: a few at a time, on a sample of [rooms], as far as the job is entitled
-     * to it. [tasksPerZone] is how many of its tasks each zone holds already.
+     * Preempts tasks for [job], which found no free capacity, as far as the job is entitled to it. Each call frees capacity for a
+     * few tasks, on a sample of [candidates]. [tasksPerZone] is the number of placed tasks of the job in each zone.
      */
     fun preemptFor(
         job: Job,
@@ -107,7 +107,7 @@
             .mapNotNull { planOn(it, spec.demand, preemptor) }
             .minByOrNull { it.lostCpuMicros }
 
-    /** The latest tasks to preempt on [candidate] until [demand] fits; null if it never does, or fits as it is. */
+    /** The most recently assigned tasks to preempt on [candidate] until [demand] fits; null if it can't fit, or fits already. */
     private fun planOn(
         candidate: CandidateMachine,
         demand: Resources,
@@ -127,7 +127,7 @@
         return Plan(candidate, victims, lostCpuMicros)
     }
 
-    /** What is preempted for [preemptor] on [machine], the latest assignment first: the least of its work is lost. */
+    /** Tasks on [machine] that may be preempted for [preemptor]. The latest assignment comes first, since it loses the least work. */
     private fun victimsOn(
         machine: MachineId,
         preemptor: Preemptor,
@@ -160,7 +160,7 @@
         return RunningTask(spec.team, spec.priority, usageAccounting.isFunded(job.id), isExpired, isOverShare)
     }
 
-    /** How long a machine of the type that [attempt] is on takes to fetch the image of [job]; 0 if that is not known. */
+    /** Time that the type of machine under [attempt] takes to fetch the image of [job]; 0 if it is unknown. */
     private fun imageFetchUs(
         job: Job,
         attempt: AttemptId,
@@ -178,7 +178,7 @@
         val machine = plan.candidate.machine
         machineCooldownUntilUs[machine] = context.now + MACHINE_COOLDOWN
         if (!shardClaims.controls(machine)) {
-            // The leader may stop tasks only on what it commands; once it is borrowed the job asks again.
+            // The leader may stop tasks only on machines that it controls, so it borrows the machine first. The job tries again later.
             shardClaims.borrow(listOf(machine), agents::pushCommands)
             jobCooldownUntilUs.remove(job.id)
             return
--- a/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
@@ -5,23 +5,23 @@
 import mintpick.core.isProduction
 import mintpick.wire.Priority
 
-/** Where a job stands in the queue: worked out once for each job, not for each comparison of two. */
+/** The sort keys of a job in the queue, computed once per job instead of once per comparison. */
 internal class QueuePosition(
     val job: Job,
     /** Whether its team's guarantee pays for it. */
     private val isFunded: Boolean,
-    /** The highest priority of the job and of all jobs that need it. */
+    /** The highest priority of the job and all its successors. */
     private val priority: Priority,
-    /** The team's rank by fair share, the one to be served first lowest. */
+    /** The team's rank by fair share; the team to be served first has the lowest. */
     private val fairShareRank: Int,
-    /** Time of day as which the job's arrival counts among its team's jobs. */
+    /** Wall-clock time that counts as the job's arrival among the jobs of its team. */
     private val effectiveArrivalUs: Micros,
 ) {
     companion object {
         /**
-         * First the job to be served first. Funded before unallocated work and then by fair share, as in "Ai2 replaces GPU
-         * priority scheduling with time budgets and fair share". The project's own exception: services that users see wait for nobody
-         * (docs/design.md).
+         * Sorts the job to be placed first to the front. Funded work precedes unallocated work, then fair share decides, as in "Ai2
+         * replaces GPU priority scheduling with time budgets and fair share". The project's own exception: user-facing services
+         * precede all other work (docs/design.md).
          */
         val QUEUE_ORDER: Comparator<QueuePosition> =
             compareBy<QueuePosition> { !it.job.spec.isProduction }
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -12,9 +12,9 @@
 import mintpick.engine.transactions.JobUpdate
 
 /**
- * Assigns the tasks of waiting jobs to machines, in passes over the queue: [JobQueue] says in which order,
- * [PlacementScopePolicy] which jobs are this controller's to place, [CandidateFinder] on which machines, and [JobPlacer]
- * places each. Event-loop thread only.
+ * Assigns the tasks of waiting jobs to machines, in passes over the queue. [JobQueue] determines the order, [PlacementScopePolicy]
+ * the jobs that this controller may place, and [CandidateFinder] the machines. [JobPlacer] places each job, and [PreemptionPlanner]
+ * frees capacity where there is none. Event-loop thread only.
  */
 class Scheduler(
     private val context: EngineContext,
@@ -29,48 +29,48 @@
     private val passRateLimiter = PassRateLimiter(context)
     private val jobRecordAges = JobRecordAges(context)
 
-    /** Jobs that were not placed, or not whole, in the last pass; in the order of the queue. */
+    /** Jobs that were not placed or only partially in the last pass, in queue order. */
     var unschedulable: List<Job> = emptyList()
         private set
 
-    /** Whether some of them found no room here, as against no write. */
+    /** Whether a job was not placed in the last pass for lack of capacity here, as opposed to lack of write budget. */
     var lacksCapacity = false
         private set
 
-    /** Whether a job could have been placed in the last pass, but for a write. */
+    /** Whether a job was not placed in the last pass for lack of write budget only, or its placement was not sent. */
     var lacksWriteBudget = false
         private set
 
-    /** What the last pass placed could not be written. */
+    /** Records that a placement of the last pass was not sent because the limits on writes did not allow it. */
     fun onPlacementsNotWritten() {
         lacksWriteBudget = true
     }
 
-    /** [jobs] in the order of the queue, first the one to be served first. */
+    /** [jobs] in queue order, with the job to be placed first at the front. */
     fun inQueueOrder(jobs: Collection<Job>): List<Job> = queue.inQueueOrder(jobs)
 
-    /** How many of the waiting tasks of [job] may start now: all, unless it fails wherever it runs. */
+    /** Number of waiting tasks of [job] that may start now: all, unless the job fails on every machine. */
     fun startableTasks(job: Job): Int = faultyJobThrottle.startableTasks(job)
 
-    /** Whether [job] may be placed on spot machines only, for now. */
+    /** Whether [job] may currently be placed on spot machines only. */
     fun isSpotOnly(job: Job): Boolean = jobPlacer.isSpotOnly(job)
 
-    /** How many placed tasks of [job] each zone holds; empty if the job has no rule about zones. */
+    /** Number of placed tasks of [job] in each zone; empty if the job has no zone rule. */
     fun tasksPerZone(job: Job): Map<String, Int> = candidateFinder.tasksPerZone(job)
 
-    /** What teams may still use under their limits as the records stand. */
+    /** Resources that teams may still use under their limits, according to the records. */
     fun teamQuota(): TeamQuota = teamLimits.quota()
 
     /**
-     * Runs a pass if one is due. [drafts] are the jobs' next transactions so far, by job; [draftOf] returns the draft of a job,
-     * making one where there is none, or null if the job can't be changed now.
+     * Runs a pass if one is due. [drafts] holds the drafts of the jobs' next transactions so far. [draftOf] returns the draft of a
+     * job, creating it if necessary; null if the job can't be changed now.
      */
     fun schedule(
         jobUpdates: JobUpdateWriter,
         drafts: Map<JobId, JobUpdate>,
         draftOf: (JobId) -> JobUpdate?,
     ) {
-        // What was just observed moves in the same write; otherwise planning more often than this finds nothing new.
+        // Requeued tasks are placed at once, in the write that requeues them. Otherwise more frequent passes find nothing new.
         val hasRequeuedTasks = drafts.values.any { it.job.waiting > it.before.waiting }
         if (!passRateLimiter.isDue && !hasRequeuedTasks) return
         passRateLimiter.onPassStarted(context.cache.waitingJobs().size, candidateFinder.ownMachineCount)
@@ -91,7 +91,7 @@
         jobPlacer.borrowMachines(pass)
     }
 
-    /** The jobs that wait once [drafts] are stored; jobs with a draft as they are to become. */
+    /** The jobs with waiting tasks, as they will be when [drafts] are stored. */
     private fun waitingJobs(drafts: Map<JobId, JobUpdate>): LinkedHashMap<JobId, Job> {
         val waiting = LinkedHashMap<JobId, Job>()
         for (job in context.cache.waitingJobs()) waiting[job.id] = job
@@ -128,12 +128,12 @@
         val startable = startableTasks(job)
         if (startable == 0) return
         val unchangedUs = jobRecordAges.observe(job)
-        val isFree = pass.jobUpdates.isAvailable(job.id)
-        // Asked for also while the job is not free: that may build the view of all machines, whose order depends on when.
-        val candidates = placementScopePolicy.candidatesFor(job, unchangedUs, pass.candidates).takeIf { isFree }
+        val isAvailable = pass.jobUpdates.isAvailable(job.id)
+        // Called even if the job is not available: the call may build the view of all machines, whose order depends on when it is built.
+        val candidates = placementScopePolicy.candidatesFor(job, unchangedUs, pass.candidates).takeIf { isAvailable }
         val hasWriteBudget = pass.hasWriteBudgetFor(job)
         if (!hasWriteBudget && !job.spec.isProduction) {
-            // One job that could be placed is enough to know.
+            // No further jobs are checked after one that could be placed.
             pass.lacksWriteBudget = pass.lacksWriteBudget || (candidates != null && jobPlacer.couldPlace(job, candidates, pass))
             pass.unschedulable += job
             return
@@ -151,13 +151,10 @@
         pass: PlacementPass,
     ) {
         pass.lacksCapacity = true
-        // Another controller may have room, for which nobody has to be preempted.
+        // Until then, another controller may place the job on free capacity, so that no task needs to be preempted.
         val isPreemptionDue = unchangedUs >= PREEMPTION_DELAY
-        if (isPreemptionDue &&
-            !faultyJobThrottle.isFaulty(job)
-        ) {
-            preemptionPlanner.preemptFor(job, candidates, candidateFinder.tasksPerZone(job))
-        }
+        if (!isPreemptionDue || faultyJobThrottle.isFaulty(job)) return
+        preemptionPlanner.preemptFor(job, candidates, candidateFinder.tasksPerZone(job))
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/scheduling/TeamLimits.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/TeamLimits.kt
@@ -4,7 +4,7 @@
 import mintpick.core.TeamQuota
 import mintpick.engine.runtime.EngineContext
 
-/** The most that each team may use at a time, from the settings. */
+/** The maximum resources that each team may use at a time, from the settings. */
 internal class TeamLimits(
     private val context: EngineContext,
 ) {
@@ -13,9 +13,9 @@
             team.name to Resources(orUnlimited(team.cpusMax), orUnlimited(team.gpusMax), TeamQuota.UNLIMITED)
         }
 
-    /** What teams may still use as the records stand. */
+    /** Resources that teams may still use, according to the records. */
     fun quota(): TeamQuota = TeamQuota(limits, context.cache::usedBy)
 
-    /** The platform's files say 0 where there is no limit. */
+    /** A limit of 0 in the platform's settings means that there is none. */
     private fun orUnlimited(limit: Double): Double = if (limit > 0) limit else TeamQuota.UNLIMITED
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -15,9 +15,10 @@
 import mintpick.engine.state.StateStoreClient
 
 /**
- * Each team's use of machine time over a sliding window against its share of the budget tree: who is funded, and who comes
- * first. Each controller charges what runs on its own machines, and adds what the others have stored ([UsageSummaryStore]).
- * From "Ai2 replaces GPU priority scheduling with time budgets and fair share". Event-loop thread only.
+ * Tracks each team's usage of machine time in a sliding window, and compares it with the team's share in the budget tree.
+ * Determines which jobs are funded and which teams come first. Each controller charges the tasks on its own machines, and adds the
+ * usage that its peers have stored ([UsageSummaryStore]). From "Ai2 replaces GPU priority scheduling with time budgets and fair
+ * share". Event-loop thread only.
  */
 class UsageAccounting(
     private val context: EngineContext,
@@ -33,7 +34,7 @@
     private var isRestored = false
     private var lastChargeUs: Micros? = null
 
-    /** Share-seconds by team, with what is derived from them and holds until they are summed up anew. */
+    /** Share-seconds by team as of the last refresh; the ranks and comparisons below are derived from them. */
     private var usageByTeam: Map<String, Double> = emptyMap()
     private var refreshedUs: Micros = -REFRESH_INTERVAL
     private var cachedRanks: FairShareRanks? = null
@@ -41,7 +42,10 @@
 
     private val cache get() = context.cache
 
-    /** The operators' tree, if there is one, with a branch of weight 1 for each team that it leaves out; else weights are guarantees. */
+    /**
+     * The operators' tree with a branch of weight 1 for each team that it omits; without one, a branch for each team, weighted by
+     * its CPU guarantee.
+     */
     private fun budgetTree(): ShareNode.Group {
         val configured = operators.shares
         if (configured == null) {
@@ -52,7 +56,7 @@
         return configured.copy(children = configured.children + otherTeams.map { ShareNode.Team(it.name, 1.0) })
     }
 
-    /** Charges what has run since the last second, and stores a summary when one is due. */
+    /** Charges the tasks that have run since the last charge, if that is due, and stores a summary if one is due. */
     fun tick() {
         if (!stateStore.isServing) return
         restore()
@@ -63,7 +67,7 @@
         summaryStore.storeIfDue(window)
     }
 
-    /** A restarted controller goes on from what its earlier process stored. */
+    /** Restores the usage that an earlier process of this controller stored. */
     private fun restore() {
         if (isRestored) return
         isRestored = true
@@ -85,14 +89,14 @@
         window.expire(context.wallClockUs)
     }
 
-    /** What machines of all known types that have reported add up to. */
+    /** Total capacity of all recorded machines of known types. */
     private fun clusterCapacity(): Resources {
         var total = Resources.ZERO
         for (machine in cache.machines.values) total += cache.machineTypes[machine.record.type]?.capacity ?: continue
         return total
     }
 
-    /** Share-seconds that [team] has used in the window: here as of now, on other controllers as of their last summaries. */
+    /** Share-seconds that [team] has used in the window: as of the last refresh here, and as of their last summaries for peers. */
     fun usageOf(team: String): Double {
         refresh()
         return usageByTeam[team] ?: 0.0
@@ -120,13 +124,13 @@
         return sums
     }
 
-    /** The teams' ranks by fair share; judged once for each refresh of their use. */
+    /** The teams' ranks by fair share, computed once per refresh of their usage. */
     fun fairShareRanks(): FairShareRanks {
         refresh()
         return cachedRanks ?: FairShareRanks(tree.ranks(::usageOf)).also { cachedRanks = it }
     }
 
-    /** Whether [team] has used more than its share of what all have used. */
+    /** Whether [team] has used more than its share of the total usage. */
     fun isOverShare(team: String): Boolean {
         refresh()
         return isOverShareByTeam.getOrPut(team) { tree.isOverShare(team, ::usageOf) }
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageSummaryStore.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageSummaryStore.kt
@@ -14,14 +14,14 @@
 import mintpick.wire.UsageRecord
 import mintpick.wire.WireJson
 
-/** What the teams used in one slot of the window: share-seconds of the dominant resource by team. */
+/** The teams' usage in one slot of the window: share-seconds of the dominant resource by team. */
 class SlotUsage(
     val slot: Long,
     val byTeam: Map<String, Double>,
 )
 
 /**
- * Stores summaries of this controller's use by team every few seconds, as in "Ai2 replaces GPU priority scheduling with time
+ * Stores summaries of this controller's usage by team every few seconds, as in "Ai2 replaces GPU priority scheduling with time
  * budgets and fair share", and reads those of all controllers. Event-loop thread only.
  */
 class UsageSummaryStore(
@@ -30,7 +30,7 @@
     private val operators: Operators,
     private val formats: RecordFormatNegotiator,
 ) {
-    /** A layout and the size of values that it was made for. */
+    /** A layout and the value size that it was computed for. */
     private class CachedLayout(
         val valueBytes: Double,
         val layout: UsageLayout,
@@ -43,7 +43,7 @@
     private var isWriting = false
     private val cache get() = context.cache
 
-    /** Use as [node] has stored it, by slot; what a piece tells of a slot counts before the whole of earlier versions. */
+    /** The usage that [node] has stored, by slot. Pieces take precedence over the single record that earlier versions store. */
     fun usageStoredBy(node: NodeId): List<SlotUsage> {
         val slots = HashMap<Long, HashMap<String, Double>>()
         for ((_, record) in cache.usage[node].orEmpty().toSortedMap()) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Stores what [window] holds if the next summary is due, the state service is within reach, and writes are to spare. */
+    /** Stores the content of [window] if the next summary is due, the state store is reachable, and write budget is available. */
     fun storeIfDue(window: UsageWindow) {
         if (isWriting || context.now < nextSummaryUs) return
         if (!stateStore.isReachable || stateStore.writesAllowed() < MIN_WRITES_ALLOWED) return
@@ -80,13 +80,13 @@
         }
     }
 
-    /** All that the window holds in one record, as earlier versions keep it. */
+    /** The content of [window] in a single record, as earlier versions store it. */
     private fun legacySummary(window: UsageWindow): Write {
         val slots = window.snapshot().entries.associate { (slot, use) -> slot.toString() to shares(use, teams.indices) }
         return summary(LEGACY_PIECE, UsageRecord(context.wallClockUs, slots))
     }
 
-    /** The pieces of the present slot; a record of earlier versions is deleted once all its slots have left the window. */
+    /** The pieces of the current slot. The single record of an earlier version is deleted after all its slots have left the window. */
     private fun pieceSummaries(window: UsageWindow): List<Write> {
         val snapshot = window.snapshot()
         val pieces = currentLayout().piecesOf(window.slotOf(context.wallClockUs)).map { pieceSummary(it, snapshot) }
@@ -112,7 +112,7 @@
         return legacyRecord.slots.keys.none { (it.toLongOrNull() ?: 0) >= oldestSlot }
     }
 
-    /** Made anew only when the format, and with it the size of values, has changed. */
+    /** The layout for the current value size; computed again only if the format, and with it the value size, has changed. */
     private fun currentLayout(): UsageLayout {
         val valueBytes = formats.maxValueBytes
         val cached = cachedLayout
@@ -122,7 +122,7 @@
         return layout
     }
 
-    /** Use of the teams numbered [range] in the order of the settings, rounded to what records keep. */
+    /** Usage of the teams numbered [range] in the order of the settings, rounded to the precision of records. */
     private fun shares(
         use: Map<String, Double>,
         range: IntRange,
@@ -134,7 +134,7 @@
     ) = Write(Keys.usage(context.self.text, piece), WireJson.encodeToJsonElement(UsageRecord.serializer(), record))
 
     private companion object {
-        /** The number under which the one record of earlier versions is kept. */
+        /** Piece number of the single record that earlier versions store. */
         const val LEGACY_PIECE = 0
         const val STEPS_PER_SHARE_SECOND = 1e3
         const val MIN_WRITES_ALLOWED = 3
--- a/src/main/kotlin/mintpick/engine/state/LeaseManager.kt
+++ b/src/main/kotlin/mintpick/engine/state/LeaseManager.kt
@@ -10,7 +10,7 @@
 import mintpick.wire.WireJson
 import org.slf4j.LoggerFactory
 
-/** Gets this controller's lease, registers the controller with it, renews it, and notices its loss. Event-loop thread only. */
+/** Acquires this controller's lease, registers the controller under it, renews it and detects its loss. Event-loop thread only. */
 class LeaseManager(
     private val connection: StateStoreConnection,
     private val session: StateStoreSession,
@@ -22,12 +22,12 @@
     private var renewalInFlight = false
     private var nextRenewalUs: Micros = 0
 
-    /** Asks for a lease, and registers this controller with it; a failure is retried by a later call. */
+    /** Requests a lease and then registers this controller under it. After a failure, a later call tries again. */
     fun requestLease() {
         val sent = context.now
-        session.setupRequestSent()
+        session.onSetupRequestSent()
         connection.request(protocol.grant(LEASE_TTL), protocol::readLease) { result ->
-            session.setupRequestEnded()
+            session.onSetupRequestEnded()
             if (result is StateResult.Ok) onGranted(result.value, sent) else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
         }
     }
@@ -36,34 +36,34 @@
         answer: LeaseAnswer,
         sentUs: Micros,
     ) {
-        session.leaseGranted(answer.lease)
+        session.onLeaseGranted(answer.lease)
         nextRenewalUs = sentUs + RENEWAL_INTERVAL
         register(answer.lease)
     }
 
-    /** Writes the record of this controller. */
+    /** Writes this controller's registration record, attached to [lease]. */
     private fun register(lease: Long) {
-        session.setupRequestSent()
+        session.onSetupRequestSent()
         val record = NodeRecord(context.self.text, lease, context.wallClockUs)
         val value = WireJson.encodeToJsonElement(NodeRecord.serializer(), record)
         val write = Write(Keys.node(context.self.text), value, leased = true)
-        // Unguarded: whatever an earlier process of this name left behind is over.
+        // Unguarded: a record left by an earlier process of this controller is obsolete.
         transactions.transact(emptyList(), listOfNotNull(write, formats.announcement())) { result ->
-            session.setupRequestEnded()
+            session.onSetupRequestEnded()
             if (result is TransactionResult.Committed) {
-                session.registered()
+                session.onRegistered()
                 LOG.info("lease granted lease={} revision={}", lease, result.revision)
             } else {
-                session.registrationFailed()
+                session.onRegistrationFailed()
                 session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
             }
         }
     }
 
-    /** Renews the lease when it is due, or repairs this controller's record. */
+    /** Renews the lease when that is due, or rewrites this controller's record if it is not attached to the lease. */
     fun renew() {
         val lease = session.lease ?: return
-        // A late write of an earlier registration may have attached the record to a lease that has expired.
+        // A delayed write of an earlier registration may have attached the record to an expired lease.
         if (context.cache.nodes[context.self]?.lease != lease && session.canSendSetupRequest) {
             session.delaySetupRequest(REPAIR_INTERVAL)
             register(lease)
@@ -78,25 +78,28 @@
         nextRenewalUs = context.now + RENEWAL_INTERVAL
         connection.request(protocol.renew(lease), protocol::readRenewal) { result ->
             renewalInFlight = false
-            if (result is StateResult.Gone && session.lease == lease) session.leaseLost("expired")
+            if (result is StateResult.Gone && session.lease == lease) session.onLeaseLost("expired")
             if (result is StateResult.Limited) nextRenewalUs = context.now + StateStoreConnection.RETRY_DELAY
         }
     }
 
-    /** The process was paused: a lease that was not renewed within its time may be over, and the claims on it taken by others. */
+    /**
+     * Must be called after the process was paused. A lease that was not renewed in time may have expired, and other
+     * controllers may have taken over the claims attached to it.
+     */
     fun onProcessPause() {
         val sinceServed = context.now - (connection.statistics.lastServedUs ?: 0)
-        if (sinceServed > LEASE_TTL) session.leaseLost("process pause")
+        if (sinceServed > LEASE_TTL) session.onLeaseLost("process pause")
     }
 
     companion object {
         private val LOG = LoggerFactory.getLogger(LeaseManager::class.java)
 
-        /** How long a lease lives without a renewal. */
+        /** Time to live of a lease without renewal. */
         const val LEASE_TTL: Micros = 5 * SECOND
         private const val RENEWAL_INTERVAL: Micros = SECOND
 
-        /** Between two attempts to write the record of this controller while it is attached to another lease. */
+        /** Time between two attempts to rewrite this controller's record while it is attached to another lease. */
         private const val REPAIR_INTERVAL: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
@@ -9,18 +9,21 @@
 import mintpick.wire.Retiring
 
 /**
- * The machines of one shard as records that each fit into a value of [maxBytes]. A new machine goes into the first piece
- * that has room, so that every machine of a full one can still be marked; with no such piece a new one begins. A piece that
- * has outgrown a value, as after the limits have been lowered, is split in the transaction that changes it; otherwise
- * machines do not move between pieces, so that a reader that gets them piece by piece never misses a machine. [stored] are
- * the machines by piece as they are now; records are written in [format]. Event-loop thread only.
+ * Distributes the machine list of one partition over records (pieces) that each fit into a value of [maxBytes].
+ *
+ * A new machine is added to the first piece with room for it, or to a new piece if there is none. Pieces are not filled
+ * completely, so that each of their machines can still be marked as retiring. A piece that exceeds the size of a value, for
+ * example after the limits were lowered, is split in the transaction that changes it. Otherwise machines never move between
+ * pieces, so a reader that receives the pieces one at a time never misses a machine.
+ *
+ * [stored] holds the current machines by piece; records are written in [format]. Event-loop thread only.
  */
 class MachineListLayout(
     stored: Map<Int, Map<MachineId, MachineRecord>>,
     private val maxBytes: Double,
     private val format: RecordFormat,
 ) {
-    /** A piece that is to be written: the machines that it holds, those that have left it, and its record. */
+    /** A piece to be written: its machines, the machines removed from it, and its encoded record. */
     class ChangedPiece(
         val machines: Map<MachineId, MachineRecord>,
         val removed: Set<MachineId>,
@@ -33,7 +36,7 @@
         val removed = HashSet<MachineId>()
         var isChanged = false
 
-        /** Encoded once and then kept up to date: adding many machines must not encode the piece for each. */
+        /** Encoded size. Computed once and then kept up to date, because encoding the piece for each added machine is too slow. */
         var bytes = sizeOf(machines)
     }
 
@@ -42,7 +45,7 @@
     private val pieces = stored.mapValuesTo(sortedMapOf()) { (_, machines) -> Piece(HashMap(machines)) }
     private val pieceOf = indexByMachine()
 
-    /** Numbers of all pieces, and of the one that would come next. */
+    /** Numbers of the pieces that guard a write: all existing ones and the next new one. */
     val guardedNumbers: Set<Int> get() = pieces.keys + unusedNumbers().first()
 
     private fun indexByMachine(): HashMap<MachineId, Piece> {
@@ -57,7 +60,7 @@
 
     private fun sizeOf(machines: Map<MachineId, MachineRecord>): Int = RecordCodec.machineListJson(machines, format).toString().length
 
-    /** Adds a machine, or replaces its record in the piece that has it. */
+    /** Adds a machine, or replaces its record in the piece that contains it. */
     fun add(
         id: MachineId,
         record: MachineRecord,
@@ -76,7 +79,7 @@
         return piece
     }
 
-    /** Removes a machine; one that is not listed is ignored. */
+    /** Removes a machine. Does nothing if it is not listed. */
     fun remove(id: MachineId) {
         val piece = pieceOf.remove(id) ?: return
         piece.machines -= id
@@ -84,7 +87,10 @@
         piece.isChanged = true
     }
 
-    /** Marks a machine as [retiring]; false if the mark has no room, and waits until others of its piece are gone. */
+    /**
+     * Marks a machine as [retiring]. Returns false if the machine is not listed, or if its piece has no room for the mark until
+     * other machines of the piece have been removed.
+     */
     fun markRetiring(
         id: MachineId,
         retiring: Retiring,
@@ -99,21 +105,24 @@
         return true
     }
 
-    /** Pieces to be written by number, as many as fit into one transaction of [maxOps] writes and [maxTotal] bytes, but at least one. */
+    /**
+     * Changed pieces by number: as many as fit into one transaction of [maxOps] writes and [maxTotalBytes], but at least one if
+     * any piece has changed.
+     */
     fun changedPieces(
         maxOps: Int,
-        maxTotal: Int,
+        maxTotalBytes: Int,
     ): Map<Int, ChangedPiece> {
         val found = LinkedHashMap<Int, ChangedPiece>()
         var bytes = 0
-        // Splitting adds pieces meanwhile.
+        // A copy of the numbers, because splitting adds pieces during the iteration.
         for (number in pieces.keys.toList()) {
             val piece = pieces.getValue(number)
             if (!piece.isChanged) continue
             val parts = split(number, piece)
             bytes += parts.values.sumOf { it.bytes }
-            val isTooMuch = found.size + parts.size > maxOps || bytes > maxTotal
-            if (found.isNotEmpty() && isTooMuch) break
+            val exceedsLimits = found.size + parts.size > maxOps || bytes > maxTotalBytes
+            if (found.isNotEmpty() && exceedsLimits) break
             pieces += parts
             for ((partNumber, part) in parts) {
                 found[partNumber] = ChangedPiece(part.machines, part.removed, RecordCodec.machineListJson(part.machines, format))
@@ -122,7 +131,7 @@
         return found
     }
 
-    /** [piece] in halves until each fits into a value; the first keeps its [number], the others get unused ones. */
+    /** Halves [piece] until each part fits into a value. The first part keeps [number]; the others get unused numbers. */
     private fun split(
         number: Int,
         piece: Piece,
@@ -154,16 +163,16 @@
         /** Quotes, colon and comma of an entry. */
         const val ENTRY_BYTES = 6
 
-        /** What a machine mostly takes at most: a step between numbers, a kind, and what is new in its address. */
+        /** Upper bound for most machines: the difference to the previous number, a machine kind, and the new part of the address. */
         const val COMPACT_ENTRY_BYTES = 16
 
-        /** For the heads of groups, which the count of bytes leaves out. */
+        /** Reserved for the headers of groups, which the byte count does not include. */
         const val SPARE_BYTES = 1_000
 
-        /** The longest mark with quotes, colon and comma. */
+        /** The longest retiring mark, with quotes, colon and comma. */
         const val MARK_BYTES = 12
 
-        /** How full pieces are made, as a part of a value's size: marks take room in the verbose format alone. */
+        /** How far new machines may fill a piece, as a fraction of a value's size. Only in the verbose format do marks need extra room. */
         const val VERBOSE_FILL_RATIO = 0.5
         const val COMPACT_FILL_RATIO = 0.85
     }
--- a/src/main/kotlin/mintpick/engine/state/RecordFormatNegotiator.kt
+++ b/src/main/kotlin/mintpick/engine/state/RecordFormatNegotiator.kt
@@ -9,9 +9,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Decides in which format records are written while versions of the service are mixed. Each controller announces the
- * newest format that it reads in a record that outlives it; a format is written once every controller of the settings,
- * present or not, has announced it. One that has not announced anything reads only the oldest. Event-loop thread only.
+ * Selects the format in which records are written while controllers of different versions run together.
+ *
+ * Each controller announces the newest format that it can read, in a record that outlives its process. A format is used for
+ * writing only after every controller of the settings has announced it, whether or not that controller is running. A
+ * controller without an announcement is assumed to read only the oldest format. Event-loop thread only.
  */
 class RecordFormatNegotiator(
     private val context: EngineContext,
@@ -19,17 +21,23 @@
     private val controllers = (context.settings.peers.map { it.node } + context.settings.node).map(::NodeId)
     private var lastLogged: RecordFormat? = null
 
-    /** The newest format that every controller reads. */
+    /** The newest format that every controller can read. */
     val current: RecordFormat
         get() {
             val announced = context.cache.announcedFormats
             return RecordFormat.readableAt(controllers.minOf { announced[it] ?: NOT_ANNOUNCED })
         }
 
-    /** Whether jobs with DAG dependencies may be accepted: an older version would start them at once. */
+    /**
+     * Whether jobs with DAG dependencies may be accepted. An older version would start them immediately, without waiting for
+     * their predecessors.
+     */
     val allowsDependencies: Boolean get() = current >= RecordFormat.COMPACT
 
-    /** Most bytes of one value: the oldest format is needed only while the limits of before the upgrade are in force. */
+    /**
+     * Maximum size of one value in bytes. The oldest format is needed only until the state store's limits are lowered, so the
+     * limit from before that applies to it.
+     */
     val maxValueBytes: Double
         get() {
             val settings = context.settings
@@ -37,10 +45,10 @@
             return kilobytes * BYTES_PER_KB
         }
 
-    /** Announced levels by controller, for the status page. */
+    /** Announced format level of each controller, for the status page; the oldest level if it has announced none. */
     fun levels(): Map<String, Int> = controllers.associate { it.text to (context.cache.announcedFormats[it] ?: RecordFormat.VERBOSE.level) }
 
-    /** What this controller has to write to announce what it reads; null if it has. */
+    /** The write that announces the newest format that this controller can read; null if it is already announced. */
     fun announcement(): Write? {
         val announced = context.cache.announcedFormats[context.self] ?: NOT_ANNOUNCED
         if (announced >= RecordFormat.NEWEST.level) return null
@@ -48,7 +56,7 @@
         return Write(Keys.format(context.self.text), WireJson.encodeToJsonElement(FormatRecord.serializer(), record))
     }
 
-    /** Logs each change of the format once. */
+    /** Logs the format when it has changed. */
     fun tick() {
         val format = current
         if (format == lastLogged) return
@@ -59,10 +67,10 @@
     private companion object {
         val LOG = LoggerFactory.getLogger(RecordFormatNegotiator::class.java)
 
-        /** The level of a controller that has announced nothing: below all formats. */
+        /** Level of a controller without an announcement; lower than the level of every format. */
         const val NOT_ANNOUNCED = 0
 
-        /** Fewer than 1024, for what surrounds a value in a request. */
+        /** Less than 1024, to leave room for what surrounds a value in a request. */
         const val BYTES_PER_KB = 1000
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/RequestLimits.kt
+++ b/src/main/kotlin/mintpick/engine/state/RequestLimits.kt
@@ -4,8 +4,8 @@
 import mintpick.engine.runtime.TokenBucket
 
 /**
- * This controller's share of the state service's limits: requests and written keys per second, divided evenly between all
- * controllers of the settings. Event-loop thread only.
+ * This controller's share of the state store's limits on requests and written keys per second. The limits are divided evenly
+ * between all controllers of the settings. Event-loop thread only.
  */
 class RequestLimits(
     private val context: EngineContext,
@@ -16,26 +16,29 @@
 
     private fun bucket(perSecond: Double) = TokenBucket(perSecond, perSecond)
 
-    /** Requests that the limit allows now; below zero after [chargeRequest] has overdrawn it. */
+    /** Number of requests that the limit allows now; negative after [chargeRequest] has overdrawn it. */
     fun requestsAvailable(): Double = requests.available(context.now)
 
-    /** Written keys that the limit allows now; below zero after [chargeWrites] has overdrawn it. */
+    /** Number of written keys that the limit allows now; negative after [chargeWrites] has overdrawn it. */
     fun writesAvailable(): Double = writes.available(context.now)
 
-    /** Takes one request if the limit allows it; false if not. */
+    /** Consumes one request if the limit allows it; returns false otherwise. */
     fun tryAcquireRequest(): Boolean = requests.take(context.now, 1.0)
 
-    /** Counts one request that must leave in any case; later ones that use [tryAcquireRequest] wait for it. */
+    /**
+     * Consumes one request even if that overdraws the limit, for a request that must be sent in any case. [tryAcquireRequest]
+     * returns false until the limit has recovered.
+     */
     fun chargeRequest() = requests.charge(context.now, 1.0)
 
-    /** Counts [count] written keys that leave in any case. */
+    /** Consumes [count] written keys even if that overdraws the limit. */
     fun chargeWrites(count: Int) = writes.charge(context.now, count.toDouble())
 
     private companion object {
-        /** Part of the request limit that controllers plan for; the rest is for leases and bursts. */
+        /** Fraction of the request limit that controllers plan to use; the rest is reserved for leases and bursts. */
         const val REQUEST_SHARE = 0.9
 
-        /** Part of the write limit that controllers plan for. */
+        /** Fraction of the write limit that controllers plan to use. */
         const val WRITE_SHARE = 1.0
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/RequestStatistics.kt
+++ b/src/main/kotlin/mintpick/engine/state/RequestStatistics.kt
@@ -8,13 +8,13 @@
 import org.HdrHistogram.Histogram
 
 /**
- * How requests to the state service ended: when it last served one, whether it is reachable, and how long answers took.
- * Times are microseconds of the steady clock. Event-loop thread only.
+ * Outcomes of requests to the state store: when it last served one, whether it is reachable, and the latency of its answers.
+ * Times are microseconds of the monotonic clock. Event-loop thread only.
  */
 class RequestStatistics(
     private val context: EngineContext,
 ) {
-    /** When the newest served request was sent; null before the first one. */
+    /** Send time of the newest served request; null before the first one. */
     var lastServedUs: Micros? = null
         private set
     private var lastFailedUs: Micros = 0
@@ -22,29 +22,35 @@
     /** Latency of answered requests other than watches, in microseconds. */
     private val latency = Histogram(MAX_LATENCY, LATENCY_DIGITS)
 
-    /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
+    /**
+     * False from the first failure until a request is served again. It stays true while the newest served request was sent
+     * within the grace period.
+     */
     val isReachable: Boolean get() = (lastServedUs ?: -1) >= lastFailedUs || context.now - (lastServedUs ?: 0) < FAILURE_GRACE
 
     /** Latency in milliseconds by percentile, for the status page. */
     fun latencyMs(): Map<String, Double> = PERCENTILES.associate { "p${it.toInt()}" to latency.getValueAtPercentile(it).toDouble() / MILLI }
 
-    /** A request that was sent at [sentUs] has been answered. */
+    /** Records that a request sent at [sentUs] was answered. */
     fun recordServed(sentUs: Micros) {
         latency.recordValue((context.now - sentUs).coerceIn(1, MAX_LATENCY))
         lastServedUs = maxOf(lastServedUs ?: 0, sentUs)
     }
 
-    /** A watch has been answered: it stays open through an outage, so only its answer says that the service serves. */
+    /**
+     * Records that a watch was answered. A watch stays open during an outage, so only the time of its answer shows that the
+     * state store is available.
+     */
     fun recordWatchServed() {
         lastServedUs = maxOf(lastServedUs ?: 0, context.now - MILLI)
     }
 
-    /** A request has failed: it was not sent, not answered, or answered with an error. */
+    /** Records that a request failed: it was not sent, not answered, or answered with an error. */
     fun recordFailed() {
         lastFailedUs = context.now
     }
 
-    /** Records how a request that was sent at [sentUs] ended. A refusal counts as served: the service is there. */
+    /** Records the outcome of a request sent at [sentUs]. A refusal counts as served, since it shows that the store is available. */
     fun recordResult(
         sentUs: Micros,
         result: StateResult<*>,
@@ -57,7 +63,7 @@
         /** Significant decimal digits of a recorded latency. */
         const val LATENCY_DIGITS = 2
 
-        /** A failure this soon after a served request does not make the service unreachable. */
+        /** A failure this soon after a served request does not make the state store unreachable. */
         const val FAILURE_GRACE: Micros = 300 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
+++ b/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
@@ -5,13 +5,13 @@
 import mintpick.wire.ItemPage
 import org.slf4j.LoggerFactory
 
-/** Reads all records into the local cache, page by page, and closes the read with a catch-up. Event-loop thread only. */
+/** Loads all records into the local cache page by page, and completes the load with a catch-up. Event-loop thread only. */
 class SnapshotLoader(
     private val connection: StateStoreConnection,
     private val session: StateStoreSession,
-    private val watch: WatchReader,
+    private val watchReader: WatchReader,
 ) {
-    /** How far the reading of the records into [cache] has come: a request that fails is sent again, those before it are not. */
+    /** Progress of loading the records into [cache]. After a failure only the failed request is repeated. */
     private class Progress(
         val cache: LocalCache,
     ) {
@@ -24,20 +24,20 @@
     private val protocol = connection.protocol
     private var latest = Progress(context.cache)
 
-    /** The progress with the present cache: one that has been reset is filled from the first page on. */
+    /** Progress of loading the current cache. After the cache was reset, the load restarts with the first page. */
     private val progress: Progress
         get() {
             if (latest.cache !== context.cache) latest = Progress(context.cache)
             return latest
         }
 
-    /** Sends the next request of the load; further ones follow each answer. A failure is retried by a later call. */
+    /** Sends the next request of the load; each answer triggers the following one. After a failure, a later call tries again. */
     fun load() = if (progress.hasAllPages) catchUp() else loadPage()
 
     private fun loadPage() {
-        session.setupRequestSent()
+        session.onSetupRequestSent()
         connection.request(protocol.page(progress.lastKey, PAGE_ITEMS), protocol::readPage) { result ->
-            session.setupRequestEnded()
+            session.onSetupRequestEnded()
             if (result is StateResult.Ok) onPage(result.value) else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
         }
     }
@@ -52,31 +52,34 @@
             load()
             return
         }
-        // Pages are not one moment: the watch starts at the first page's revision and repeats what changed meanwhile.
+        // The pages have different revisions. The watch starts at that of the first page and repeats all later changes.
         context.cache.advanceTo(firstRevision)
         progress.hasAllPages = true
         val isSinglePage = progress.lastKey == null
         if (isSinglePage) finish() else load()
     }
 
-    /** With several pages nobody serves before that: a guard from a later page would hold although changes from before it are not known. */
+    /**
+     * Completes a load of several pages, which must not be used before: a guard on a record of a later page could hold although
+     * changes committed before that record are still missing from the cache.
+     */
     private fun catchUp() {
-        session.setupRequestSent()
+        session.onSetupRequestSent()
         connection.request(protocol.watch(context.cache.revision, 0), protocol::readWatch) { result ->
-            session.setupRequestEnded()
-            if (watch.apply(result)) finish() else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
+            session.onSetupRequestEnded()
+            if (watchReader.apply(result)) finish() else session.delaySetupRequest(StateStoreConnection.RETRY_DELAY)
         }
     }
 
     private fun finish() {
-        session.loaded()
+        session.onLoaded()
         LOG.info("loaded revision={} jobs={}", context.cache.revision, context.cache.jobs.size)
     }
 
     private companion object {
         val LOG = LoggerFactory.getLogger(SnapshotLoader::class.java)
 
-        /** Most records of one page. */
+        /** Maximum number of records in one page. */
         const val PAGE_ITEMS = 500
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreClient.kt
@@ -6,9 +6,11 @@
 import mintpick.wire.Guard
 
 /**
- * This controller's client of the state service: it loads the records into the local cache, joins with a lease, watches the
- * changes, and sends transactions, all within this controller's share of the request limits. It composes one class for each
- * of these; other packages use only this one. Times are microseconds of the steady clock. Event-loop thread only.
+ * Client of the state store. It loads the records into the local cache, acquires a lease and registers this controller,
+ * watches for changes, and sends transactions, all within this controller's share of the request limits.
+ *
+ * Each of these tasks has a class of its own; other packages use only this one. Times are microseconds of the monotonic
+ * clock. Event-loop thread only.
  */
 class StateStoreClient(
     context: EngineContext,
@@ -22,49 +24,52 @@
     private val watchReader = WatchReader(connection, session)
     private val snapshotLoader = SnapshotLoader(connection, session, watchReader)
 
-    /** How far this controller is with the state service. */
+    /** Phase of this controller's session with the state store. */
     val phase: SessionPhase get() = session.phase
 
-    /** The lease that this controller's record and claims are attached to; null while it has none. */
+    /** The lease that this controller's record and claims are attached to; null while there is none. */
     val lease: Long? get() = session.lease
 
     /** Whether this controller is registered and its cache is loaded. */
     val isServing: Boolean get() = session.isServing
 
-    /** When this controller last registered while it was joining; 0 before that. */
+    /** When this controller last started serving by registering; 0 before the first time. */
     val servingSinceUs: Micros get() = session.servingSinceUs
 
-    /** The records have been read once, so that assignments are known even while joining again. */
+    /** Whether all records are loaded. Assignments are then known even while this controller acquires a new lease. */
     val hasLoaded: Boolean get() = !session.isLoading
 
-    /** When the newest request was sent that the state service has served; null before the first one. */
+    /** Send time of the newest request that the state store has served; null before the first one. */
     val lastServedUs: Micros? get() = statistics.lastServedUs
 
-    /** False from the first failure on until a request is served again; one served within the grace period keeps it true. */
+    /**
+     * False from the first failure until a request is served again. It stays true while the newest served request was sent
+     * within the grace period.
+     */
     val isReachable: Boolean get() = statistics.isReachable
 
     /**
-     * Everything that was committed before this time is in the local cache; null before the first answered watch or
-     * catch-up. Unlike [lastServedUs] it does not move with lease renewals, which say nothing of the records.
+     * All changes committed before this time are in the local cache; null before the first answered watch or catch-up. Unlike
+     * [lastServedUs], it does not advance with lease renewals, whose answers contain no records.
      */
     val cacheAsOfUs: Micros? get() = watchReader.cacheAsOfUs
 
-    /** Transactions that may still be answered soon; those whose answers are lost are not counted. */
+    /** Number of transactions whose answers are still expected; those whose answers are considered lost are excluded. */
     val inFlightTransactions: Int get() = transactions.inFlightCount
 
-    /** Transactions that the state service found too large, since the start. */
+    /** Number of transactions that the state store has rejected as too large since the start. */
     val tooLargeTransactions: Long get() = transactions.tooLargeCount
 
-    /** Whether a transaction may be sent, whatever others have used of the write limit. */
+    /** Whether a transaction may be sent now, regardless of the write limit. */
     val mayWrite: Boolean get() = transactions.mayWrite
 
-    /** How many keys may be written now; transactions above it wait. */
+    /** Number of keys that may be written now; larger transactions have to wait. */
     fun writesAllowed(): Int = transactions.writesAllowed()
 
     /** Latency of answered requests other than watches, in milliseconds by percentile, for the status page. */
     fun latencyMs(): Map<String, Double> = statistics.latencyMs()
 
-    /** Sends the requests that are due: the next step towards isServing or a renewal, then the watch and the catch-up. */
+    /** Sends the requests that are due: the next setup request or a lease renewal, then the watch and the catch-up. */
     fun tick() {
         when (session.phase) {
             SessionPhase.LOADING -> if (session.canSendSetupRequest) snapshotLoader.load()
@@ -74,16 +79,16 @@
         watchReader.tick()
     }
 
-    /** The process was paused: a lease that was not renewed within its time is given up. */
+    /** Must be called after the process was paused. Treats a lease that was not renewed in time as lost. */
     fun onProcessPause() = leaseManager.onProcessPause()
 
-    /** Runs [onResult] with true once everything committed before this call is in the cache; with false if that can't be had now. */
+    /** Calls [onResult] with true once all changes committed before this call are in the cache, or with false if that is impossible now. */
     fun afterCatchUp(onResult: (Boolean) -> Unit) = watchReader.afterCatchUp(onResult)
 
     /**
-     * Sends a transaction of [changes] under [guards], whatever the limits say: callers ask [mayWrite] or [writesAllowed]
-     * before. [onResult] runs in a later step; what was committed is in the cache by then. The outcome is unknown if the
-     * records were read anew meanwhile.
+     * Sends a transaction of [changes] under [guards] regardless of the limits; callers check [mayWrite] or [writesAllowed]
+     * first. [onResult] is called in a later step, when committed changes are already in the cache. It receives an unknown
+     * outcome if the cache was reset in the meantime.
      */
     fun transact(
         guards: List<Guard>,
--- a/src/main/kotlin/mintpick/engine/state/StateStoreConnection.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreConnection.kt
@@ -8,7 +8,7 @@
 import mintpick.store.StateProtocol
 import mintpick.store.StateResult
 
-/** The way to the state service: its protocol, this controller's request limits, and the statistics of both. Event-loop thread only. */
+/** Connection to the state store: its protocol, this controller's request limits and the request statistics. Event-loop thread only. */
 class StateStoreConnection(
     val context: EngineContext,
 ) {
@@ -17,8 +17,8 @@
     val statistics = RequestStatistics(context)
 
     /**
-     * Sends [call] whatever the request limit says, and counts it. [onResult] gets the answer as [read] decodes it, in a later
-     * step, after the statistics have recorded it.
+     * Sends [call] regardless of the request limit, but counts it against the limit. [onResult] receives the answer decoded by
+     * [read] in a later step, after the statistics have recorded it.
      */
     fun <T> request(
         call: Call,
@@ -35,7 +35,7 @@
     }
 
     companion object {
-        /** How long a request waits that failed and is to be sent again. */
+        /** Delay before a failed request is repeated. */
         const val RETRY_DELAY: Micros = 250 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/StateStoreSession.kt
+++ b/src/main/kotlin/mintpick/engine/state/StateStoreSession.kt
@@ -4,12 +4,13 @@
 import mintpick.engine.runtime.EngineContext
 import org.slf4j.LoggerFactory
 
-/** How far a controller is with the state service: reading all records, getting a lease and registering, or in service. */
+/** Phase of a controller's session with the state store: loading all records, acquiring a lease and registering, or serving. */
 enum class SessionPhase { LOADING, JOINING, SERVING }
 
 /**
- * This controller's session with the state service: its phase, its lease, and when the next step towards serving may be
- * taken. The parts of [StateStoreClient] share it. Event-loop thread only.
+ * This controller's session with the state store: its phase, its lease, and when the next setup request may be sent. Setup
+ * requests are those that load the records, request a lease or register this controller. The parts of [StateStoreClient]
+ * share one session. Event-loop thread only.
  */
 class StateStoreSession(
     private val context: EngineContext,
@@ -17,72 +18,72 @@
     var phase = SessionPhase.LOADING
         private set
 
-    /** The lease that this controller's record and claims are attached to; null while it has none. */
+    /** The lease that this controller's record and claims are attached to; null while there is none. */
     var lease: Long? = null
         private set
 
-    /** When this controller last registered while it was joining; 0 before that. */
+    /** When this controller last started serving by registering; 0 before the first time. */
     var servingSinceUs: Micros = 0
         private set
 
-    /** Requests of the load, of the grant and of the registration: one is in flight at a time, whichever it is. */
+    /** Only one setup request is in flight at a time. */
     private var setupRequestInFlight = false
     private var nextSetupRequestUs: Micros = 0
 
     val isServing: Boolean get() = phase == SessionPhase.SERVING
     val isLoading: Boolean get() = phase == SessionPhase.LOADING
 
-    /** Whether the next request of the load, the grant or the registration may leave now. */
+    /** Whether the next setup request may be sent now. */
     val canSendSetupRequest: Boolean get() = !setupRequestInFlight && context.now >= nextSetupRequestUs
 
-    /** A request of the load, the grant or the registration leaves. */
-    fun setupRequestSent() {
+    /** Must be called when a setup request is sent. */
+    fun onSetupRequestSent() {
         setupRequestInFlight = true
     }
 
-    /** The request of [setupRequestSent] has ended. */
-    fun setupRequestEnded() {
+    /** Must be called when the setup request in flight was answered or has failed. */
+    fun onSetupRequestEnded() {
         setupRequestInFlight = false
     }
 
-    /** The next request of the load, the grant or the registration waits for [delay] microseconds. */
+    /** Delays the next setup request by [delay] microseconds. */
     fun delaySetupRequest(delay: Micros) {
         nextSetupRequestUs = context.now + delay
     }
 
-    /** All records have been read. */
-    fun loaded() {
+    /** All records have been loaded. */
+    fun onLoaded() {
         phase = if (lease == null) SessionPhase.JOINING else SessionPhase.SERVING
     }
 
-    /** All records have to be read anew. */
-    fun reload() {
+    /** The cache was reset: all records have to be loaded again. */
+    fun onCacheReset() {
         phase = SessionPhase.LOADING
     }
 
-    /** The state service has granted [lease]; it is of use once this controller is registered with it. */
-    fun leaseGranted(lease: Long) {
+    /** The state store has granted [lease]. It can be used once this controller is registered under it. */
+    fun onLeaseGranted(lease: Long) {
         this.lease = lease
     }
 
-    /** The record of this controller is attached to its lease. A load that began meanwhile serves at its own end. */
-    fun registered() {
+    /** This controller's record is attached to its lease. If a load has started in the meantime, serving starts when it ends. */
+    fun onRegistered() {
         if (phase != SessionPhase.JOINING) return
         servingSinceUs = context.now
         phase = SessionPhase.SERVING
     }
 
-    /** The registration did not commit: while joining, the next attempt begins with a new lease. */
-    fun registrationFailed() {
+    /** The registration was not committed. In the joining phase, the next attempt starts with a new lease. */
+    fun onRegistrationFailed() {
         if (phase == SessionPhase.JOINING) lease = null
     }
 
-    /** The lease has expired, or may have, for [reason]. */
-    fun leaseLost(reason: String) {
+    /** The lease has expired or may have expired; [reason] is logged. */
+    fun onLeaseLost(reason: String) {
         if (lease == null) return
         LOG.warn("lease lost lease={} reason={}", lease, reason)
         lease = null
-        // A load goes on to its end, and joins then: a watch in the midst of it would empty the records once more.
+        // A load is completed first: in the joining phase a watch would start from an incomplete cache, which would be reset again.
         if (phase == SessionPhase.SERVING) phase = SessionPhase.JOINING
     }
 
--- a/src/main/kotlin/mintpick/engine/state/TransactionDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/state/TransactionDispatcher.kt
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends compare-and-swap transactions, keeps those that have not been answered yet, and says how much may be written now.
- * Event-loop thread only.
+ * Sends compare-and-swap transactions, tracks those without an answer, and determines how much may be written now. Event-loop
+ * thread only.
  */
 class TransactionDispatcher(
     private val connection: StateStoreConnection,
@@ -23,34 +23,33 @@
     private val statistics = connection.statistics
     private var backOffUntilUs: Micros = 0
 
-    /** When each transaction was sent that has not been answered yet, by its number. */
+    /** Send times of the transactions without an answer, by transaction number. */
     private val sentUsOfUnanswered = HashMap<Long, Micros>()
     private var lastNumber = 0L
 
-    /** Transactions that the state service found too large; its limits may have been lowered further than was announced. */
+    /** Number of transactions that the state store rejected as too large. Its limits may have been lowered further than announced. */
     var tooLargeCount = 0L
         private set
 
     /**
-     * Transactions that may still be answered soon. One that is late, while the service has answered what was sent after it,
-     * has lost its answer: it must not hold up others until it times out, as long as requests are left for leases and
-     * catch-ups.
+     * Number of transactions whose answers are still expected. The answer of a late transaction is considered lost if the state
+     * store has answered a request that was sent after it. Such a transaction must not delay others until it times out. At most
+     * [MAX_LOST_TRANSACTIONS] are excluded, so that enough requests remain for leases and catch-ups.
      */
     val inFlightCount: Int
         get() = maxOf(sentUsOfUnanswered.values.count(::isAnswerable), sentUsOfUnanswered.size - MAX_LOST_TRANSACTIONS)
 
     private fun isAnswerable(sentUs: Micros): Boolean = context.now - sentUs < LATE_ANSWER_AGE || (statistics.lastServedUs ?: 0) <= sentUs
 
-    /** Whether a transaction may be sent, whatever others have used of the write limit. */
+    /** Whether a transaction may be sent now, regardless of the write limit. */
     val mayWrite: Boolean get() = session.lease != null && context.now >= backOffUntilUs && limits.requestsAvailable() >= 1
 
-    /** How many keys may be written now; transactions above it wait. */
+    /** Number of keys that may be written now; larger transactions have to wait. */
     fun writesAllowed(): Int = if (mayWrite) limits.writesAvailable().toInt() else 0
 
     /**
-     * Sends a transaction of [changes] under [guards]. What it writes is in the cache when [onResult] hears that it was
-     * committed. If the records were read anew meanwhile, which brings it or what came after it, [onResult] hears that the
-     * outcome is unknown.
+     * Sends a transaction of [changes] under [guards]. Committed changes are in the cache before [onResult] is called. If the
+     * cache was reset in the meantime, [onResult] receives an unknown outcome; the reload brings the changes or later ones.
      */
     fun transact(
         guards: List<Guard>,
@@ -67,10 +66,10 @@
         context.call(protocol.transact(transaction)) { outcome ->
             sentUsOfUnanswered.remove(number)
             val result = protocol.readTransaction(outcome)
-            record(sent, outcome, result)
+            recordOutcome(sent, outcome, result)
             if (result is TransactionResult.Committed) changes.forEach { cacheAtSend.apply(it.key, it.value, result.revision) }
-            if (result is TransactionResult.TooLarge) reportTooLarge(guards, changes)
-            // The new cache may not show it yet, and what users are answered must be in the records.
+            if (result is TransactionResult.TooLarge) onTooLarge(guards, changes)
+            // A new cache may not contain the changes yet, and answers to users must agree with the cached records.
             onResult(if (cacheAtSend === context.cache) result else TransactionResult.Unknown)
         }
     }
@@ -80,14 +79,14 @@
         return Change(put = write.key, value = write.value, lease = if (write.leased) session.lease else null)
     }
 
-    private fun record(
+    private fun recordOutcome(
         sentUs: Micros,
         outcome: Outcome,
         result: TransactionResult,
     ) {
         when (result) {
             is TransactionResult.Committed, is TransactionResult.Conflict, TransactionResult.TooLarge -> statistics.recordServed(sentUs)
-            TransactionResult.LeaseGone -> session.leaseLost("refused")
+            TransactionResult.LeaseGone -> session.onLeaseLost("refused")
             TransactionResult.Refused -> {
                 backOffUntilUs = context.now + MIN_BACK_OFF + context.random.nextLong(BACK_OFF_JITTER)
                 if (!isRateLimited(outcome)) statistics.recordFailed()
@@ -98,7 +97,7 @@
 
     private fun isRateLimited(outcome: Outcome): Boolean = outcome is Outcome.Answered && outcome.status == TOO_MANY_REQUESTS
 
-    private fun reportTooLarge(
+    private fun onTooLarge(
         guards: List<Guard>,
         changes: List<Write>,
     ) {
@@ -111,14 +110,14 @@
         val LOG = LoggerFactory.getLogger(TransactionDispatcher::class.java)
         const val TOO_MANY_REQUESTS = 429
 
-        /** After a refusal transactions wait this long, and up to the jitter longer, so that controllers do not return together. */
+        /** After a refusal no transaction is sent for this time plus a random jitter, so that controllers do not resume simultaneously. */
         const val MIN_BACK_OFF: Micros = 100 * MILLI
         const val BACK_OFF_JITTER: Micros = 100 * MILLI
 
-        /** Most transactions whose answers are taken as lost before they time out. */
+        /** Maximum number of transactions whose answers are considered lost before they time out. */
         const val MAX_LOST_TRANSACTIONS = 4
 
-        /** How old an unanswered transaction is when its answer may be lost. */
+        /** Age from which the answer of a transaction may be considered lost. */
         const val LATE_ANSWER_AGE: Micros = 400 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/UsageLayout.kt
@@ -1,16 +1,16 @@
 package mintpick.engine.state
 
 /**
- * Which record holds which part of a controller's use by team: each piece holds some time slots of some teams, as many as
- * fit into a value of [valueBytes], and slots of a window share no piece with older ones. Only the pieces of the present
- * slot change. There are [teams] teams and [windowSlots] slots in the window that use is counted over.
+ * Assigns a controller's usage by team to records (pieces). Each piece contains as many time slots and teams as fit into a value
+ * of [valueBytes]. A piece is reused only after all of its slots have left the window, and only the pieces of the current slot
+ * change. There are [teams] teams, and usage is summed over a window of [windowSlots] slots.
  */
 class UsageLayout(
     private val teams: Int,
     windowSlots: Int,
     valueBytes: Double,
 ) {
-    /** Numbers of the teams, in the order of the settings, and of the slots that a piece holds. */
+    /** A piece with its number, its slots, and the indexes of its teams in the order of the settings. */
     data class Piece(
         val number: Int,
         val teams: IntRange,
@@ -22,7 +22,7 @@
     private val teamRangeCount = ceilDiv(teams, teamsPerPiece)
     private val slotGroupCount = ceilDiv(windowSlots, slotsPerPiece) + SPARE_SLOT_GROUPS
 
-    /** How many teams' shares of one slot fit into a value: at least one, at most all. */
+    /** Number of teams whose shares of one slot fit into a value: at least one, at most all. */
     private fun teamsThatFit(valueBytes: Double): Int {
         val fitting = ((valueBytes - HEAD_BYTES - SLOT_BYTES) / SHARE_BYTES).toInt()
         return minOf(maxOf(1, teams), maxOf(1, fitting))
@@ -38,7 +38,7 @@
         perPiece: Int,
     ): Int = (count + perPiece - 1) / perPiece
 
-    /** The pieces that [slot] is kept in, one for each range of teams. */
+    /** The pieces that contain [slot], one for each range of teams. */
     fun piecesOf(slot: Long): List<Piece> {
         val group = slot / slotsPerPiece
         val slots = group * slotsPerPiece until (group + 1) * slotsPerPiece
@@ -50,16 +50,16 @@
     }
 
     private companion object {
-        /** Field names, the time and brackets. */
+        /** Field names, the time and brackets of a record. */
         const val HEAD_BYTES = 80
 
-        /** A slot's number with quotes, colon, brackets and comma. */
+        /** A slot number with quotes, colon, brackets and comma. */
         const val SLOT_BYTES = 18
 
         /** Up to a million share-seconds with three decimals, and a comma. */
         const val SHARE_BYTES = 12
 
-        /** So that a piece is used again only when all its slots have left the window. */
+        /** Ensures that a piece is reused only after all of its slots have left the window. */
         const val SPARE_SLOT_GROUPS = 2
     }
 }
--- a/src/main/kotlin/mintpick/engine/state/WatchReader.kt
+++ b/src/main/kotlin/mintpick/engine/state/WatchReader.kt
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Keeps the local cache up to date with the state service: by a long-poll watch, and by catch-ups, which are answered at
- * once and which all callers share that wait for one. Event-loop thread only.
+ * Keeps the local cache up to date with the state store by a long-poll watch and by catch-ups. A catch-up is a watch request
+ * that is answered immediately; all callers that wait for the next catch-up share one request. Event-loop thread only.
  */
 class WatchReader(
     private val connection: StateStoreConnection,
@@ -20,7 +20,7 @@
     private val protocol = connection.protocol
     private val limits = connection.limits
     private val statistics = connection.statistics
-    private var watchOpen = false
+    private var isWatchOpen = false
     private var nextWatchUs: Micros = 0
     private var catchUpInFlight = false
     private var nextCatchUpUs: Micros = 0
@@ -28,21 +28,21 @@
     private var catchUpWaiters = ArrayList<(Boolean) -> Unit>()
 
     /**
-     * Everything that was committed before this time is in the cache: when the newest answered catch-up or watch was sent.
-     * Null before the first one, and after the cache was reset. Lease renewals do not move it: they say nothing of the
-     * records.
+     * All changes committed before this time are in the cache: it is the send time of the newest answered catch-up or watch.
+     * Null before the first one, and after the cache was reset. Lease renewals do not advance it, since their answers contain
+     * no records.
      */
     var cacheAsOfUs: Micros? = null
         private set
 
-    /** Opens the watch and sends the catch-up, each if it is due. */
+    /** Opens the watch and sends the catch-up if they are due. */
     fun tick() {
         if (isWatchDue() && limits.tryAcquireRequest()) openWatch()
         refresh()
         startCatchUp()
     }
 
-    /** Runs [onResult] with true once everything committed before this call is in the cache; with false if that can't be had now. */
+    /** Calls [onResult] with true once all changes committed before this call are in the cache, or with false if that is impossible now. */
     fun afterCatchUp(onResult: (Boolean) -> Unit) {
         if (!session.isServing || !statistics.isReachable) {
             onResult(false)
@@ -52,13 +52,13 @@
     }
 
     /**
-     * Brings the events of an answered watch or catch-up into the cache; false if there are none to bring. A watch that the
-     * service's log no longer reaches back to empties the cache, and the records are read anew.
+     * Applies the events of an answered watch or catch-up to the cache. Returns false if the request did not succeed. If the
+     * state store's log no longer reaches back to the requested revision, the cache is reset and all records are loaded again.
      */
     fun apply(result: StateResult<EventPage>): Boolean {
         if (result is StateResult.Gone) resetCache()
         if (result !is StateResult.Ok) return false
-        // In whichever order the events come, a job has to be known before its chunks.
+        // Events may arrive in any order, but a job has to be applied before its chunks.
         for (event in result.value.events.sortedBy { Keys.isChunk((it.put ?: it.delete).orEmpty()) }) {
             val key = event.put ?: event.delete ?: continue
             val value = if (event.put != null) event.value else null
@@ -73,18 +73,18 @@
         context.resetCache()
         cacheAsOfUs = null
         nextRefreshUs = 0
-        session.reload()
-        watchOpen = false
+        session.onCacheReset()
+        isWatchOpen = false
     }
 
-    private fun isWatchDue() = !session.isLoading && !watchOpen && context.now >= nextWatchUs
+    private fun isWatchDue() = !session.isLoading && !isWatchOpen && context.now >= nextWatchUs
 
     private fun openWatch() {
-        watchOpen = true
+        isWatchOpen = true
         val cacheAtSend = context.cache
         val sent = context.now
         context.call(protocol.watch(cacheAtSend.revision, WATCH_TIMEOUT)) { outcome ->
-            // The watch of a cache that has been reset meanwhile is not counted as open any more.
+            // If the cache was reset in the meantime, this watch no longer counts as the open one.
             if (cacheAtSend === context.cache) onWatchAnswer(sent, protocol.readWatch(outcome))
         }
     }
@@ -93,7 +93,7 @@
         sentUs: Micros,
         result: StateResult<EventPage>,
     ) {
-        watchOpen = false
+        isWatchOpen = false
         if (result is StateResult.Ok) statistics.recordWatchServed() else statistics.recordResult(sentUs, result)
         nextWatchUs = context.now + if (result is StateResult.Ok) WATCH_INTERVAL else StateStoreConnection.RETRY_DELAY
         if (apply(result)) advanceCacheAsOf(sentUs)
@@ -103,7 +103,7 @@
         cacheAsOfUs = maxOf(cacheAsOfUs ?: 0, sentUs)
     }
 
-    /** Keeps [cacheAsOfUs] recent while nobody asks: how long workers may be answered in an outage depends on it. */
+    /** Keeps [cacheAsOfUs] recent while no caller requests a catch-up: it limits how long agents are answered during an outage. */
     private fun refresh() {
         if (session.isLoading || context.now < nextRefreshUs) return
         nextRefreshUs = context.now + REFRESH_INTERVAL
@@ -120,7 +120,7 @@
         if (limits.tryAcquireRequest()) sendCatchUp(takeWaiters())
     }
 
-    /** Those who wait for the next catch-up; who comes after that waits for the one after it. */
+    /** Removes and returns the callers that wait for the next catch-up. Later callers wait for the following one. */
     private fun takeWaiters(): List<(Boolean) -> Unit> {
         val waiters = catchUpWaiters
         catchUpWaiters = ArrayList()
@@ -136,7 +136,7 @@
             catchUpInFlight = false
             val result = protocol.readWatch(outcome)
             statistics.recordResult(sent, result)
-            // From before the records were read anew it says nothing of the new cache.
+            // An answer to a request from before a reset does not apply to the new cache.
             val isCaughtUp = cacheAtSend === context.cache && apply(result)
             if (isCaughtUp) advanceCacheAsOf(sent)
             waiters.forEach { it(isCaughtUp) }
@@ -146,16 +146,16 @@
     private companion object {
         val LOG = LoggerFactory.getLogger(WatchReader::class.java)
 
-        /** How long the service holds a watch open while nothing changes. */
+        /** How long the state store keeps a watch open while nothing changes. */
         const val WATCH_TIMEOUT: Micros = 10 * SECOND
 
-        /** From the answer of a watch to the next one. */
+        /** Time from the answer of a watch to the next watch. */
         const val WATCH_INTERVAL: Micros = 120 * MILLI
 
-        /** From one catch-up to the next one, at least. */
+        /** Minimum time from one catch-up to the next. */
         const val CATCH_UP_INTERVAL: Micros = 150 * MILLI
 
-        /** How often a catch-up is added if the records are not recent. */
+        /** How often a catch-up is requested if the cache is not recent. */
         const val REFRESH_INTERVAL: Micros = SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -9,9 +9,9 @@
 import mintpick.wire.Guard
 import mintpick.wire.StoredStage
 
-/** A draft of what a job is to become, with what must hold for that. Event-loop thread only. */
+/** A draft of changes to one job, with the guards that they require. Event-loop thread only. */
 class JobUpdate(
-    /** The job as the records show it. */
+    /** The job as recorded, without the changes. */
     val before: Job,
     limits: TransactionLimits,
 ) {
@@ -20,35 +20,35 @@
     private val newPlacements = ArrayList<Placement>()
     private val requeuedAttempts = ArrayList<AttemptId>()
     private var stage = before.stage
-    private var built: Job? = before
+    private var cachedJob: Job? = before
     private var writesFinalRecord = false
     private val maxChunks = limits.maxChunks(before)
     private val maxMachineGuards = limits.maxMachineGuards(before)
 
-    /** The job with all changes so far. */
-    val job: Job get() = built ?: build().also { built = it }
+    /** The job with all changes made so far. */
+    val job: Job get() = cachedJob ?: build().also { cachedJob = it }
 
-    /** Indexes of the chunks that have changed. */
+    /** Indexes of the changed chunks. */
     val changedChunks: Set<Int> get() = edits.filterValues { it.changed }.keys
 
-    /** What must hold beside the job's own records being unchanged. */
+    /** Guards in addition to those that require the job's own records to be unchanged. */
     val guards: Set<Guard> get() = machineGuards
 
     /** Placements of this update, in the order in which they were made. */
     val placed: List<Placement> get() = newPlacements
 
-    /** Attempts that have ended and whose tasks wait again. */
+    /** Attempts that have ended and whose tasks are waiting again. */
     val requeued: List<AttemptId> get() = requeuedAttempts
 
     /** Whether there is anything to write. */
     val hasChanges: Boolean get() = writesFinalRecord || stage != before.stage || edits.values.any { it.changed }
 
-    /** Task number [task] is done. */
+    /** Marks task number [task] as done. */
     fun finish(task: Int) {
         editOf(task)?.finish(task % Job.CHUNK)
     }
 
-    /** Task number [task] waits again: the caller has proof that [placement] runs nowhere. */
+    /** Makes task number [task] wait again. The caller must have proof that [placement] runs on no machine. */
     fun requeue(
         task: Int,
         placement: Placement,
@@ -58,7 +58,7 @@
         requeuedAttempts += AttemptId(TaskId(before.id, task), placement.attempt)
     }
 
-    /** Places task number [task]; false if it does not wait, or a transaction has no room for its chunk. */
+    /** Places task number [task] on [machine]. Returns false if it is not waiting, or if the transaction has no room for its chunk. */
     fun place(
         task: Int,
         machine: MachineId,
@@ -68,14 +68,17 @@
         return true
     }
 
-    /** Adds what must hold; false if a transaction has no room for it, and what needs it has to wait for the next one. */
+    /**
+     * Adds guards for machines. Returns false if the transaction has no room for them; the changes that need them then have to
+     * wait for the next one.
+     */
     fun addMachineGuards(added: List<Guard>): Boolean {
         if ((machineGuards + added).size > maxMachineGuards) return false
         machineGuards += added
         return true
     }
 
-    /** Has the final record written of a cancelled job without a task left. */
+    /** Requests that the final record be written. Only for a cancelled job without placed tasks. */
     fun writeFinalRecord() {
         writesFinalRecord = true
     }
@@ -83,16 +86,19 @@
     /** Cancels the job. */
     fun cancel() {
         stage = StoredStage.CANCELLED
-        built = null
+        cachedJob = null
     }
 
     private fun build(): Job = edits.entries.fold(before.with(stage = stage)) { job, (index, edit) -> job.withChunk(index, edit.build()) }
 
-    /** The chunk of [task]; null if it is one too many for a transaction: what is left out is planned again after it. */
+    /**
+     * The edit of the chunk of [task]; null if the update already changes as many chunks as a transaction can carry. Omitted
+     * changes are planned again after this transaction.
+     */
     private fun editOf(task: Int): ChunkEdit? {
         val index = task / Job.CHUNK
         if (index !in edits && edits.size >= maxChunks) return null
-        built = null
+        cachedJob = null
         return edits.getOrPut(index) { before.chunk(index).edit() }
     }
 }
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionBatch.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionBatch.kt
@@ -2,10 +2,10 @@
 
 import mintpick.wire.Guard
 
-/** Parts that go into one transaction, with the team reservations that they bring with them. */
+/** Parts that are sent in one transaction, together with the team reservations that they require. */
 internal class TransactionBatch(
     private val limits: TransactionLimits,
-    /** False while each job goes into a transaction of its own. */
+    /** False while each job is sent in a transaction of its own. */
     private val allowsMultipleParts: Boolean,
 ) {
     private val added = ArrayList<TransactionPart>()
@@ -14,21 +14,21 @@
     private var writes = 0
     private var bytes = 0
 
-    /** What has been added, in this order. */
+    /** The added parts, in order. */
     val parts: List<TransactionPart> get() = added
     val isEmpty: Boolean get() = added.isEmpty()
 
-    /** Writes of all parts and of [part], the reservations of their teams among them. */
+    /** Number of writes of all added parts and [part], including the reservations of their teams. */
     fun writesWith(part: TransactionPart): Int = writes + part.writes.size + reservationsWith(part)
 
-    /** Whether the transaction stays within all limits with [part]. */
+    /** Whether the transaction stays within all limits if [part] is added. */
     fun hasRoomFor(part: TransactionPart): Boolean =
         (isEmpty || allowsMultipleParts) &&
             writesWith(part) <= limits.maxChanges &&
             guardsWith(part) <= limits.maxGuards &&
             bytes + part.bytes <= MAX_BYTES
 
-    /** Adds [part], for which there must be room. */
+    /** Adds [part]. [hasRoomFor] must have returned true for it. */
     fun add(part: TransactionPart) {
         added += part
         guards += part.guards
@@ -45,7 +45,7 @@
     }
 
     private companion object {
-        /** Below what the state service takes in one request, which holds the guards as well. */
+        /** Lower than the state store's limit for one request, which also contains the guards. */
         const val MAX_BYTES = 40 * 1024
     }
 }
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionLimits.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionLimits.kt
@@ -2,25 +2,25 @@
 
 import mintpick.core.Job
 
-/** What one transaction of the state service holds, of which updates of jobs must leave room for what goes with them. */
+/** Limits of one transaction of the state store. Job updates must leave room for the records that are written with them. */
 class TransactionLimits(
-    /** Most changes that one transaction carries. */
+    /** Maximum number of changes in one transaction. */
     val maxChanges: Int,
 ) {
-    /** Most guards that one transaction carries. */
+    /** Maximum number of guards in one transaction. */
     val maxGuards: Int get() = maxChanges * GUARDS_PER_CHANGE
 
-    /** Most chunks of [job] that change together, beside its main record and its team's reservation. */
+    /** Maximum number of chunks of [job] in one transaction, besides its main record and its team's reservation. */
     fun maxChunks(job: Job): Int = minOf(job.chunkCount, MAX_CHUNKS, maxOf(1, maxChanges - RECORDS_BESIDE_CHUNKS))
 
-    /** Most guards of machines in an update of [job], beside those of its own records and its team's reservation. */
+    /** Maximum number of machine guards in an update of [job], besides the guards of its own records and its team's reservation. */
     fun maxMachineGuards(job: Job): Int = maxGuards - RECORDS_BESIDE_CHUNKS - maxChunks(job)
 
     private companion object {
         const val GUARDS_PER_CHANGE = 4
         const val MAX_CHUNKS = 6
 
-        /** The job's main record, and its team's reservation. */
+        /** The job's main record and its team's reservation. */
         const val RECORDS_BESIDE_CHUNKS = 2
     }
 }
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionPart.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionPart.kt
@@ -7,24 +7,24 @@
 import mintpick.engine.state.Write
 import mintpick.wire.Guard
 
-/** Resources that a planned placement takes of a machine. */
+/** Resources that a planned placement requires on a machine. */
 internal data class MachineDemand(
     val machine: MachineId,
     val demand: Resources,
 )
 
-/** Notified of what becomes of a [TransactionPart]. A part that is planned but never sent notifies nobody. */
+/** Receives the outcome of a [TransactionPart]. For a part that is planned but never sent, no function is called. */
 internal interface TransactionListener {
-    /** The part is on its way to the state service; [onCommitted] or [onNotCommitted] follows. */
+    /** The part was sent to the state store; [onCommitted] or [onNotCommitted] follows. */
     fun onSent()
 
-    /** The state service has stored the part. */
+    /** The part was committed. */
     fun onCommitted()
 
-    /** The part was refused, or its outcome is unknown: it has to be planned again. */
+    /** The part was refused or its outcome is unknown; it has to be planned again. */
     fun onNotCommitted()
 
-    /** For parts that nobody waits for. */
+    /** Ignores the outcome. */
     object None : TransactionListener {
         override fun onSent() = Unit
 
@@ -34,30 +34,30 @@
     }
 }
 
-/** Writes of one job that must be carried out together, with what must hold for them. */
+/** Writes for one job that must be committed together, with their guards. */
 internal class TransactionPart(
-    /** The job that is written; one transaction at a time writes it. */
+    /** The job that is written. At most one transaction in flight writes a job. */
     val job: JobId,
-    /** Versions of records that must be unchanged, in the order in which they are sent. */
+    /** Versions of records that must be unchanged, in sending order. */
     val guards: Set<Guard>,
-    /** Records to write, in the order in which they are sent. */
+    /** Records to write, in sending order. */
     val writes: List<Write>,
-    /** What its placements take of machines, one entry for each task. */
+    /** Resources that its placements require, one entry for each placed task. */
     val placementDemands: List<MachineDemand> = emptyList(),
-    /** Attempts that it requeues. */
+    /** Ended attempts whose tasks are waiting again. */
     val requeued: List<AttemptId> = emptyList(),
-    /** The team whose reservation has to be raised with it; null if it places nothing or its team has no limit. */
+    /** The team whose reservation has to be increased with this part; null if it places nothing or its team has no limit. */
     val limitedTeam: String? = null,
-    /** Notified of what becomes of it. */
+    /** Receives the outcome of this part. */
     val listener: TransactionListener = TransactionListener.None,
 ) {
-    /** Whether it places at least one task. */
+    /** Whether this part places at least one task. */
     val isPlacement: Boolean get() = placementDemands.isNotEmpty()
 
-    /** Size of its writes in a request. */
+    /** Size of the writes in a request. */
     val bytes: Int = writes.sumOf { it.key.length + it.valueBytes + WRITE_OVERHEAD_BYTES }
 
-    /** Whether each of its values has at most [maxValueBytes]. */
+    /** Whether no value is larger than [maxValueBytes]. */
     fun valuesFit(maxValueBytes: Double): Boolean = writes.all { it.valueBytes <= maxValueBytes }
 
     private companion object {
--- a/src/main/kotlin/mintpick/users/Routes.kt
+++ b/src/main/kotlin/mintpick/users/Routes.kt
@@ -21,12 +21,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Brings requests to the event loop's queue, and its answers back; one that is not answered in time is given up. For any thread.
+ * Converts HTTP requests to events of the event loop, and its answers to HTTP responses. Requests that are not answered in
+ * time are refused. Thread-safe.
  *
- * @param offer puts an event into the event loop's queue without waiting; false if it is full
- * @param isUp asked by the load balancer every second: must not wait behind what hundreds of workers bring
- * @param maxUserRequests how many users' requests may wait for their answer at once
- * @param monotonicUs the steady clock, in microseconds
+ * @param offer adds an event to the event loop's queue without blocking; returns false if the queue is full
+ * @param isUp result of the load balancer's health check. It is called every second and bypasses the queue, where it would
+ *   have to wait behind the heartbeats of hundreds of agents.
+ * @param maxUserRequests maximum number of user requests that may be waiting for an answer at the same time
+ * @param monotonicUs the monotonic clock, in microseconds
  */
 class Routes(
     offer: (Event) -> Boolean,
@@ -36,13 +38,13 @@
 ) {
     private val unanswered = UnansweredRequests(offer, maxUserRequests, monotonicUs)
 
-    /** What users, workers and health checks see. */
+    /** Handles requests of users, agents and health checks. */
     val api: LaterHandler = { request, respond -> routeApi(request, respond) }
 
-    /** What other controllers and engineers on call see. */
+    /** Handles requests of peers and operators. */
     val peerApi: LaterHandler = { request, respond -> routePeerApi(request, respond) }
 
-    /** Answers requests that have waited too long; to be called several times a second. */
+    /** Refuses requests that have waited too long for an answer. Must be called several times a second. */
     fun expireOverdueRequests() = unanswered.expireOverdue()
 
     private fun routeApi(
@@ -59,7 +61,7 @@
         }
     }
 
-    /** [rest] is the path behind the prefix of jobs: an id, with or without an action. */
+    /** Handles a request about one job. [rest] is the path after [JOB_PREFIX]: a job id, optionally followed by an action. */
     private fun routeJob(
         request: Request,
         rest: String,
@@ -90,7 +92,7 @@
         respond(answer.toResponse())
     }
 
-    /** What can't be the id of a job is refused here: the event loop need not know of it. */
+    /** Enqueues a request about the job [id]. An invalid id is refused here, without an event. */
     private fun enqueueJobRequest(
         id: String,
         respond: Respond,
@@ -114,7 +116,10 @@
         unanswered.enqueueUserRequest(respond) { reply -> Event.Submit(spec, reply) }
     }
 
-    /** A job that was accepted stays so, whatever its submission looks like when it is repeated: the event loop decides. */
+    /**
+     * Refuses a malformed submission without a job id. One with an id is passed to the event loop: the job may have been
+     * accepted before, and its acceptance holds even if the repeated submission is malformed.
+     */
     private fun refuseMalformed(
         error: MalformedException,
         respond: Respond,
@@ -133,7 +138,7 @@
             try {
                 WireJson.decodeFromString(MachineReport.serializer(), body.decodeToString())
             } catch (e: IllegalArgumentException) {
-                // The decoder's own exception is one of these, as is a value that a record refuses.
+                // Includes the decoder's SerializationException and exceptions that constructors throw for invalid values.
                 LOG.debug("heartbeat malformed bytes={}", body.size, e)
                 return respond(errorAnswer(BAD_REQUEST, e.message ?: MALFORMED).toResponse())
             }
@@ -151,7 +156,7 @@
         }
     }
 
-    /** Its size grows with the fleet, so the bound of the platform's own interfaces does not apply. */
+    /** Enqueues a peer hint. The body limit of the public API does not apply, because a hint grows with the number of machines. */
     private fun hint(
         request: Request,
         respond: Respond,
--- a/src/main/kotlin/mintpick/users/UnansweredRequests.kt
+++ b/src/main/kotlin/mintpick/users/UnansweredRequests.kt
@@ -13,11 +13,11 @@
 import java.util.concurrent.atomic.AtomicReference
 
 /**
- * Requests that wait for the event loop's answer. For any thread.
+ * HTTP requests that are waiting for an answer of the event loop. Thread-safe.
  *
- * @param offer puts an event into the event loop's queue; false if it is full
- * @param maxUserRequests how many users' requests may wait at once
- * @param monotonicUs the steady clock, in microseconds
+ * @param offer adds an event to the event loop's queue; returns false if the queue is full
+ * @param maxUserRequests maximum number of user requests that may be waiting at the same time
+ * @param monotonicUs the monotonic clock, in microseconds
  */
 internal class UnansweredRequests(
     private val offer: (Event) -> Boolean,
@@ -27,13 +27,13 @@
     private val userRequests = AtomicInteger()
     private val requests = ConcurrentLinkedQueue<UnansweredRequest>()
 
-    /** One request. Whoever answers first, event loop or [expireOverdue], answers alone. */
+    /** A single request. Only the first answer is sent, whether it comes from the event loop or from [expireOverdue]. */
     private inner class UnansweredRequest(
         val receivedUs: Micros,
         private val isUserRequest: Boolean,
         respond: Respond,
     ) : ReplyTo {
-        // Cleared with the answer: what is answered must not be held in memory until it would be overdue.
+        // Cleared by the answer, because an answered request stays in the queue, and thus in memory, until its timeout.
         private val openResponse = AtomicReference<Respond?>(respond)
 
         override fun answer(answer: Answer) {
@@ -43,7 +43,10 @@
         }
     }
 
-    /** Queues a user's request; these are refused early, so that workers and health checks always find room in the queue. */
+    /**
+     * Enqueues a user request. User requests above [maxUserRequests] are refused, so that the event loop's queue always has
+     * room for heartbeats and peer hints.
+     */
     fun enqueueUserRequest(
         respond: Respond,
         event: (ReplyTo) -> Event,
@@ -53,7 +56,7 @@
         respond(TOO_MANY.toResponse())
     }
 
-    /** Queues [event], whose reply goes to [respond]; refused at once if the queue is full. */
+    /** Enqueues [event], whose answer is sent to [respond]. Refuses the request immediately if the event loop's queue is full. */
     fun enqueue(
         respond: Respond,
         isUserRequest: Boolean = false,
@@ -64,7 +67,7 @@
         if (!offer(event(request))) request.answer(TOO_MANY)
     }
 
-    /** Answers requests that have waited too long. */
+    /** Refuses requests that have been waiting for longer than [MAX_WAIT]. */
     fun expireOverdue() {
         while (true) {
             val oldest = requests.peek() ?: return
@@ -78,7 +81,7 @@
         const val UNAVAILABLE = 503
         const val RETRY_AFTER_S = 1
 
-        /** As long as a worker waits. */
+        /** Equal to the timeout of an agent's heartbeat. */
         const val MAX_WAIT: Micros = 4 * SECOND
         val TOO_MANY = errorAnswer(UNAVAILABLE, "too many requests", RETRY_AFTER_S)
     }
--- a/src/test/kotlin/mintpick/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/mintpick/dependencies/DependencyGraphTest.kt
@@ -18,7 +18,7 @@
 
     private val config = PropTestConfig(seed = 31, iterations = 200)
 
-    /** What [DependencyGraph] should say, worked out from scratch. */
+    /** The expected readiness of [job], computed recursively from all edges and final states. */
     private fun expected(
         job: Int,
         edges: Map<Int, Set<Int>>,
@@ -38,11 +38,11 @@
     }
 
     /**
-     * Jobs become known, end and are cancelled in any order, as pages of a load and a watch bring them; what follows is the
-     * same as if all had been looked at again.
+     * Records become known in any order, because they come from pages of a snapshot and from the watch. After each one, the
+     * readiness of all jobs must equal a computation from scratch.
      */
     @Test
-    fun `what follows for jobs does not depend on the order in which records become known`(): Unit =
+    fun `readiness does not depend on the order in which records become known`(): Unit =
         runBlocking {
             checkAll(config, Arb.int(2..24), Arb.long()) { count, seed ->
                 val random = SplittableRandom(seed)
@@ -57,7 +57,7 @@
                 }
                 (0 until count).shuffled(java.util.Random(seed)).forEach { n ->
                     if (random.nextInt(3) == 0) {
-                        // Over before it was seen waiting.
+                        // The job has ended before the graph sees it waiting.
                         val canEnd = edges.getValue(n).all { finalStates[it] == PredecessorState.DONE }
                         finalStates[n] = if (canEnd && random.nextBoolean()) PredecessorState.DONE else PredecessorState.CANCELLED
                         if (finalStates[n] == PredecessorState.DONE) graph.markDone(id(n)) else graph.markCancelled(id(n))
@@ -75,7 +75,7 @@
         }
 
     @Test
-    fun `one cancellation withdraws thousands in a row without a deep stack, and tells each once`() {
+    fun `a cancellation propagates along a chain of thousands of jobs without recursion and returns each job once`() {
         val graph = DependencyGraph()
         val pending = { _: JobId -> PredecessorState.PENDING }
         (1..20_000).forEach { graph.add(id(it), listOf(id(it - 1)), pending) }
@@ -86,7 +86,7 @@
     }
 
     @Test
-    fun `a job is as urgent as the most urgent that needs it, and starts in time for the longest way behind it`() {
+    fun `a job inherits the highest priority of its successors and starts in time for the longest path to a deadline`() {
         val graph = DependencyGraph()
         val pending = { _: JobId -> PredecessorState.PENDING }
         graph.add(id(1), listOf(id(0)), pending)
--- a/src/test/kotlin/mintpick/engine/EventLoopTest.kt
+++ b/src/test/kotlin/mintpick/engine/EventLoopTest.kt
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicInteger
 import java.util.concurrent.atomic.AtomicLong
 
-/** The owner's thread with a clock of the test's own: each reading of it is worth [jumpUs] once the test says so. */
+/** The event loop with a simulated monotonic clock that advances by [jumpUs] each time it is read. */
 class EventLoopTest {
     private val clockUs = AtomicLong(SECOND)
     private val jumpUs = AtomicLong(0)
@@ -39,13 +39,13 @@
     }
 
     @Test
-    fun `calls leave while the clock shows that the step is recent`() {
+    fun `calls are started while the step is recent by the clock`() {
         assertEquals(503, poll().status)
-        assertTrue(calls.get() > 0, "the records are asked for")
+        assertTrue(calls.get() > 0, "the records are requested")
     }
 
     @Test
-    fun `nothing leaves a process that was paused since the step began, and who waits is told to come back`() {
+    fun `after a pause during a step no call is started and requests are answered with a retry delay`() {
         jumpUs.set(5 * SECOND)
         val answer = poll()
         assertEquals(503, answer.status)
--- a/src/test/kotlin/mintpick/engine/cache/UpwardImport.kt
+++ b/src/test/kotlin/mintpick/engine/cache/UpwardImport.kt
@@ -2,7 +2,7 @@
 
 import mintpick.engine.capacity.CapacityPlanner
 
-/** A planted fault for [mintpick.architecture.PackageDirectionTest]: the lowest package knows one of the highest. */
+/** A deliberate violation for [mintpick.architecture.PackageDirectionTest]: a lower package imports a class of a higher one. */
 internal class UpwardImport(
     val planner: CapacityPlanner?,
 )
