--- a/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
+++ b/src/test/kotlin/mintpick/engine/membership/ControllerHealthTest.kt
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test
 import java.util.SplittableRandom
 
-/** One controller's parts that judge its own health, before a stand-in of the state service. */
+/** Health checks and shard claims of one controller, against a simulated state store. */
 class ControllerHealthTest {
     private class Controller(
         val state: SimulatedStateStore = SimulatedStateStore(),
@@ -64,14 +64,14 @@
             }
         }
 
-        /** A peer says by itself when the state service last served it. */
+        /** Delivers a hint that a peer sent on its own, with the time since the state store last served the peer. */
         fun receiveHint(
             node: String,
             stateAgeUs: Micros,
             cancelled: List<String> = emptyList(),
         ) = health.onHint(PeerHint(node, stateAgeUs, cancelled = cancelled, cancelledIsComplete = true))
 
-        /** A peer answers a hint of ours that left [agoUs] ago. */
+        /** Delivers a peer's answer to a hint that this controller sent [agoUs] ago. */
         fun receiveHintAnswer(
             node: String,
             stateAgeUs: Micros,
@@ -79,7 +79,7 @@
             hasLoaded: Boolean = true,
         ) = health.onHintAnswer(PeerHint(node, stateAgeUs, cancelledIsComplete = hasLoaded), now - agoUs)
 
-        /** For how long workers are answered while [receiveHints] is called each second, in [seconds]. */
+        /** How long agents are answered within [seconds], while [receiveHints] is called with each second's number, from 1 on. */
         fun answersAgentsFor(
             seconds: Int,
             receiveHints: (Int) -> Unit,
@@ -102,20 +102,20 @@
             isConnected = false
         }
 
-    /** Without it the workers of a controller that is refused alone wait for commands that it can't give. */
+    /** Otherwise agents of a controller that alone is disconnected from the state store would wait for commands that it can't give. */
     @Test
-    fun `workers are handed over when a peer is served and we are not`() {
+    fun `agents are released when the state store serves a peer but not this controller`() {
         val controller = disconnectedController()
         controller.run(5 * SECOND)
-        assertTrue(controller.health.mayAnswerAgents(), "nobody else is known to do better")
+        assertTrue(controller.health.mayAnswerAgents(), "no peer is known to be served")
         controller.receiveHint("node-1", SECOND / 10)
         assertFalse(controller.health.mayAnswerAgents())
         assertFalse(controller.health.isUp())
     }
 
-    /** In an outage for all, sending workers away would spend their leases on controllers that are no better off. */
+    /** In an outage that affects all controllers, redirected agents would use up their leases at controllers that are not served either. */
     @Test
-    fun `workers are kept in an outage that peers share`() {
+    fun `agents are kept in an outage that affects all controllers`() {
         val controller = disconnectedController()
         repeat(30) {
             controller.run(SECOND)
@@ -126,9 +126,12 @@
         }
     }
 
-    /** Two controllers of a cut zone hear each other: whoever is outside confirms cancellations that neither can know of. */
+    /**
+     * In a network partition two controllers of the same zone receive each other's hints, but a controller outside may confirm
+     * cancellations that neither of them can know of.
+     */
     @Test
-    fun `workers are let go in time while one of the peers may be served`() {
+    fun `agent leases expire in time while one of the peers may be served`() {
         val controller = disconnectedController()
         assertLeasesExpireInTime(controller.answersAgentsFor(60) { controller.receiveHintAnswer("node-1", it * SECOND) })
     }
@@ -139,9 +142,9 @@
         assertTrue(answeredUntil + settings.leaseUs < settings.cancelUs, "$answeredUntil and a lease are within ${settings.cancelUs}")
     }
 
-    /** One that has started anew in the outage can't tell what its process before confirmed in the moment before its end. */
+    /** A peer that was restarted in the outage does not know which cancellations its earlier process confirmed last. */
     @Test
-    fun `workers are let go in time while one of the peers has not loaded the records`() {
+    fun `agent leases expire in time while one of the peers has not loaded the records`() {
         val controller = disconnectedController()
         assertLeasesExpireInTime(
             controller.answersAgentsFor(60) {
@@ -151,9 +154,9 @@
         )
     }
 
-    /** A hint that a peer sent by itself may have been held up on its way: it is no account of what was confirmed since. */
+    /** A hint that a peer sent on its own may have been delayed, so it does not show which cancellations were confirmed since. */
     @Test
-    fun `workers are let go in time while peers only speak and do not answer`() {
+    fun `agent leases expire in time while peers send hints but answer none`() {
         val controller = disconnectedController()
         assertLeasesExpireInTime(
             controller.answersAgentsFor(60) {
@@ -163,9 +166,9 @@
         )
     }
 
-    /** An answer accounts for what was confirmed before its question left, whenever it comes. */
+    /** An answer lists cancellations confirmed before the hint was sent, however late the answer arrives. */
     @Test
-    fun `an account of cancellations is as old as the question`() {
+    fun `cancellations in an answer are as old as the hint that it answers`() {
         val settings = SampleJobs.settings(0)
         val controller = disconnectedController()
         controller.run(10 * SECOND)
@@ -178,18 +181,18 @@
         assertFalse(controller.health.mayAnswerAgents())
     }
 
-    /** Lease renewals tell nothing of the records: cancellations that these do not show may have been confirmed meanwhile. */
+    /** Lease renewals do not update the local records, so cancellations may have been confirmed that these do not show. */
     @Test
-    fun `workers are let go in time while the state service only renews our lease`() {
+    fun `agent leases expire in time while the state store only renews the controller's lease`() {
         val controller = Controller().apply { run(5 * SECOND) }
         controller.servesLeasesOnly = true
         assertLeasesExpireInTime(controller.answersAgentsFor(60) { })
         assertTrue(controller.isServing, "its lease was kept")
     }
 
-    /** Confirmed by a peer in the moment before an outage, a cancellation is in no record that we can read. */
+    /** A cancellation that a peer confirmed immediately before an outage is in no record that this controller can read. */
     @Test
-    fun `what a peer says was cancelled is known in an outage`() {
+    fun `cancellations in the hint of a peer are known in an outage`() {
         val controller = disconnectedController()
         controller.run(5 * SECOND)
         controller.receiveHint("node-1", 4 * SECOND, listOf("req-000007"))
@@ -197,9 +200,9 @@
         assertFalse(controller.health.isCancelledElsewhere(JobId("req-000008")))
     }
 
-    /** A cancellation that we could not hear of must still be in time: the leases lapse before `cancel_s` is over. */
+    /** A cancellation unknown to this controller must still take effect in time: agent leases expire within `cancel_s`. */
     @Test
-    fun `workers are let go in time for a cancellation that could not be heard of`() {
+    fun `agent leases expire in time for a cancellation that is unknown here`() {
         val settings = SampleJobs.settings(0)
         val controller = disconnectedController()
         var answeredUntil: Micros = 0
@@ -208,16 +211,16 @@
             controller.step()
             if (controller.health.mayAnswerAgents()) answeredUntil = controller.now - from
         }
-        assertTrue(answeredUntil > settings.leaseUs, "services go on for a while: $answeredUntil")
+        assertTrue(answeredUntil > settings.leaseUs, "services continue for at least a lease: $answeredUntil")
         assertTrue(answeredUntil + settings.leaseUs < settings.cancelUs, "$answeredUntil and a lease are within ${settings.cancelUs}")
     }
 
     /**
-     * An earlier process of this name may still have commands under way under the old claim's token, so the claim
-     * counts as ours only once it is written anew, which raises the token above all that was sent before.
+     * Commands of an earlier process of the same controller may still be in transit with the token of the old claim. The claim
+     * therefore counts as own only after it is rewritten, which raises the token above all tokens sent before.
      */
     @Test
-    fun `a claim of an earlier process under our name is not ours until it is written anew`() {
+    fun `a claim of an earlier process of the same controller is not own until it is rewritten`() {
         val state = SimulatedStateStore()
         val record = WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord("node-0", 999))
         state.transact(Transaction(emptyList(), listOf(Change(put = Keys.shard(0), value = record))))
@@ -237,7 +240,7 @@
         assertTrue(controller.shardClaims.isOwn(claim) && claim.version > 1, "$claim")
     }
 
-    /** Nobody is cut off from anybody. */
+    /** Full connectivity to peers and agents. */
     private object FullConnectivity : ClusterConnectivity {
         override val hasHintsFromAllPeers = true
         override val canReachAgents = true
--- a/src/test/kotlin/mintpick/engine/state/MachineListLayoutTest.kt
+++ b/src/test/kotlin/mintpick/engine/state/MachineListLayoutTest.kt
@@ -24,7 +24,7 @@
     private fun MachineListLayout.all() = changedPieces(Int.MAX_VALUE, Int.MAX_VALUE)
 
     @Test
-    fun `any number of machines is listed once each in pieces that fit, and all can be marked`(): Unit =
+    fun `each machine is listed exactly once in pieces that fit into a value, and all can be marked as retiring`(): Unit =
         runBlocking {
             checkAll(
                 PropTestConfig(seed = 5, iterations = 24),
@@ -32,7 +32,7 @@
                 Arb.int(8..32),
                 Arb.enum<RecordFormat>(),
             ) { count, kilobytes, format ->
-                val limit = kilobytes * 1000.0 / if (format == RecordFormat.COMPACT) COMPACT_PART else 1
+                val limit = kilobytes * 1000.0 / if (format == RecordFormat.COMPACT) COMPACT_LIMIT_DIVISOR else 1
                 val pieces = MachineListLayout(emptyMap(), limit, format)
                 (0 until count).forEach { pieces.add(id(it), record(it)) }
                 (0 until count).forEach { assertTrue(pieces.markRetiring(id(it), Retiring.DRAIN), "$it of $count in $kilobytes") }
@@ -48,49 +48,49 @@
         }
 
     @Test
-    fun `machines stay in their pieces, gaps are used again and untouched pieces are not written`() {
+    fun `machines stay in their pieces, free space is reused and unchanged pieces are not written`() {
         val before =
             MachineListLayout(
                 emptyMap(),
                 16_000.0,
                 RecordFormat.VERBOSE,
             ).apply { (0 until 500).forEach { add(id(it), record(it)) } }.all()
-        val tables = before.mapValues { it.value.machines }
-        assertTrue(tables.size in 2..4, "${tables.size} pieces")
-        val pieces = MachineListLayout(tables, 16_000.0, RecordFormat.VERBOSE)
-        val second = tables.getValue(1).keys.take(20)
+        val stored = before.mapValues { it.value.machines }
+        assertTrue(stored.size in 2..4, "${stored.size} pieces")
+        val pieces = MachineListLayout(stored, 16_000.0, RecordFormat.VERBOSE)
+        val second = stored.getValue(1).keys.take(20)
         second.forEach(pieces::remove)
         (1000 until 1020).forEach { pieces.add(id(it), record(it)) }
         val after = pieces.all()
-        assertTrue(0 !in after.keys, "the first piece is as it was")
+        assertTrue(0 !in after.keys, "the first piece is unchanged")
         assertEquals(second.toSet(), after.getValue(1).removed)
-        after.forEach { (number, piece) -> assertTrue(piece.machines.keys.containsAll(tables[number].orEmpty().keys - second.toSet())) }
+        after.forEach { (number, piece) -> assertTrue(piece.machines.keys.containsAll(stored[number].orEmpty().keys - second.toSet())) }
     }
 
     @Test
-    fun `pieces stored under larger limits are split in one transaction that leaves nobody out`() {
+    fun `pieces stored under larger limits are split in one transaction without losing a machine`() {
         val before =
             MachineListLayout(
                 emptyMap(),
                 32_000.0,
                 RecordFormat.VERBOSE,
             ).apply { (0 until 400).forEach { add(id(it), record(it)) } }
-        val tables = before.all().mapValues { it.value.machines }
-        assertEquals(1, tables.size)
-        val pieces = MachineListLayout(tables, 2_000.0, RecordFormat.COMPACT)
+        val stored = before.all().mapValues { it.value.machines }
+        assertEquals(1, stored.size)
+        val pieces = MachineListLayout(stored, 2_000.0, RecordFormat.COMPACT)
         assertTrue(pieces.markRetiring(id(7), Retiring.NOW))
         val written = pieces.changedPieces(5, Int.MAX_VALUE)
         assertTrue(written.size in 2..5, "${written.size} pieces")
         written.values.forEach { assertTrue(it.value.toString().length <= 2_000, "${it.value.toString().length} B") }
         val listed = written.values.flatMap { RecordCodec.decodeMachineList(it.value).entries }
         assertEquals(400, listed.size)
-        assertEquals(tables.getValue(0).keys, listed.mapTo(HashSet()) { it.key })
+        assertEquals(stored.getValue(0).keys, listed.mapTo(HashSet()) { it.key })
         assertEquals(listOf(id(7)), listed.filter { it.value.retiring == Retiring.NOW }.map { it.key })
-        assertTrue(pieces.guardedNumbers.containsAll(written.keys), "all that is written is guarded")
+        assertTrue(pieces.guardedNumbers.containsAll(written.keys), "every written piece is guarded")
     }
 
     @Test
-    fun `the next piece is among those that a write is guarded by`() {
+    fun `a write is guarded by all pieces and by the next new piece`() {
         assertEquals(setOf(0), MachineListLayout(emptyMap(), 16_000.0, RecordFormat.VERBOSE).guardedNumbers)
         val pieces =
             MachineListLayout(
@@ -102,7 +102,7 @@
     }
 
     @Test
-    fun `a write carries no more than a transaction holds, and the first piece whatever its size`() {
+    fun `a write stays within the limits of a transaction but always contains the first changed piece`() {
         val pieces =
             MachineListLayout(
                 emptyMap(),
@@ -114,7 +114,7 @@
     }
 
     private companion object {
-        /** The compact format is for limits an eighth of what the verbose one needs. */
-        const val COMPACT_PART = 8
+        /** The compact format is intended for limits that are an eighth of those the verbose format needs. */
+        const val COMPACT_LIMIT_DIVISOR = 8
     }
 }
--- a/src/test/kotlin/mintpick/upgrade/EngineVersion.kt
+++ b/src/test/kotlin/mintpick/upgrade/EngineVersion.kt
@@ -11,7 +11,7 @@
     val operators: String,
     val engine: String,
     val event: String,
-    /** Name of the event's subclass that requests the status page. */
+    /** Simple name of the subclass of [event] that requests the status page. */
     val statusRequest: String,
     val replyTo: String,
     val jobSpec: String,
@@ -38,7 +38,7 @@
         /** Since the engine's packages are split by concern. */
         private val BY_CONCERN = ONE_PACKAGE.copy(event = "engine.runtime.Event", replyTo = "engine.runtime.ReplyTo")
 
-        /** Since [Event.StatusRequest][mintpick.engine.runtime.Event.StatusRequest] has its present name. */
+        /** Since the rename of `Event.Inspect`. */
         private val STATUS_REQUEST = BY_CONCERN.copy(statusRequest = "StatusRequest")
 
         /** The layouts that versions have had: the first that a version's classes fit is taken. */
--- a/src/test/kotlin/mintpick/users/RoutesTest.kt
+++ b/src/test/kotlin/mintpick/users/RoutesTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test
 import java.nio.ByteBuffer
 
-/** What becomes of requests while the owner has no answer yet; the clock is the test's own. */
+/** Requests that the event loop has not answered yet. The clock is simulated. */
 class RoutesTest {
     private var now = 0L
     private val events = ArrayList<Event>()
@@ -32,9 +32,12 @@
         """{"picker":"host-000001","endpoint":"10.0.0.1:1","breed":"m","plot":"z",""" +
             """"windfall":true,"shift":1,"tally":1,"baton":0,"pieces":[]}"""
 
-    /** Workers held for an adoption once took every thread, so that health checks and users waited behind them. */
+    /**
+     * Heartbeats that waited until their machine had been adopted occupied every thread, so that health checks and user
+     * requests had to wait for them.
+     */
     @Test
-    fun `a thousand reports that wait hold up neither health checks nor users`() {
+    fun `a thousand waiting heartbeats delay neither health checks nor user requests`() {
         repeat(1000) { send(Method.POST, "/checkin", heartbeat) }
         send(Method.GET, "/up")
         send(Method.GET, "/api/jobs/req-000001")
@@ -45,7 +48,7 @@
     }
 
     @Test
-    fun `users beyond the bound are told at once when to come back, and the bound frees itself`() {
+    fun `user requests above the limit are refused with Retry-After until others are answered`() {
         repeat(5) { send(Method.GET, "/api/jobs/req-000001") }
         assertEquals(3, events.size)
         assertEquals(listOf(503, 503), responses.map { it.status.code })
@@ -56,7 +59,7 @@
     }
 
     @Test
-    fun `what the owner never answers is given up in time, once`() {
+    fun `a request that the event loop does not answer in time is refused exactly once`() {
         send(Method.GET, "/api/jobs/req-000001")
         now += 3 * SECOND
         routes.expireOverdueRequests()
@@ -68,9 +71,9 @@
         assertEquals(1, responses.size)
     }
 
-    /** The bound of the platform's interfaces cut off hints of large fleets: their sender seemed silent. */
+    /** The body limit of the public API rejected hints of large fleets, so that their senders seemed to send no hints. */
     @Test
-    fun `a hint longer than any body of the platform's is taken`() {
+    fun `a hint larger than the body limit of the public API is accepted`() {
         val hint = PeerHint("node-0", machines = (1..6000).map { MachineHint("host-%06d".format(it), 1) })
         val bytes = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
         assertTrue(bytes.size > 64 * 1024)
