--- a/src/main/kotlin/mintpick/workers/WorkerProtocol.kt
+++ b/src/main/kotlin/mintpick/agents/AgentProtocol.kt
@@ -1,4 +1,4 @@
-package mintpick.workers
+package mintpick.agents
 
 import mintpick.core.MILLI
 import mintpick.core.Micros
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory
 
 /** Requests that go straight to workers' agents, and what their answers mean. Without state, for any thread. */
-object WorkerProtocol {
-    private val LOG = LoggerFactory.getLogger(WorkerProtocol::class.java)
+object AgentProtocol {
+    private val LOG = LoggerFactory.getLogger(AgentProtocol::class.java)
     private const val TIMEOUT: Micros = 1_500 * MILLI
     private const val PROBE_TIMEOUT: Micros = 700 * MILLI
     private const val OK = 200
@@ -27,7 +27,7 @@
         ) : Result
 
         /** The fencing token or the agent epoch did not match: nothing was executed. [report] is null if the answer held none. */
-        data class Dropped(
+        data class Refused(
             val report: MachineReport?,
         ) : Result
 
@@ -35,7 +35,7 @@
         data object NotSent : Result
 
         /** No answer, or none that can be read: the commands may have been executed, or may be later. */
-        data object Unanswered : Result
+        data object Unknown : Result
     }
 
     /** The call that brings [batch] to the worker at [address]; a [suspect] has not answered lately. */
@@ -62,12 +62,12 @@
     fun read(outcome: Outcome): Result =
         when (outcome) {
             Outcome.NotSent -> Result.NotSent
-            Outcome.Unanswered -> Result.Unanswered
+            Outcome.Unanswered -> Result.Unknown
             is Outcome.Answered ->
                 when (outcome.status) {
-                    OK -> decode(outcome)?.let { Result.Executed(it) } ?: Result.Unanswered
-                    CONFLICT -> Result.Dropped(decode(outcome))
-                    else -> Result.Dropped(null)
+                    OK -> decode(outcome)?.let { Result.Executed(it) } ?: Result.Unknown
+                    CONFLICT -> Result.Refused(decode(outcome))
+                    else -> Result.Refused(null)
                 }
         }
 
--- a/src/main/kotlin/mintpick/cli/ClassDataTraining.kt
+++ b/src/main/kotlin/mintpick/cli/ClassDataTraining.kt
@@ -22,9 +22,9 @@
 object ClassDataTraining {
     private const val LOCALHOST = "127.0.0.1"
     private const val ROUNDS = 4
-    private const val ROUND_MS = 625L
-    private const val LOOP_END_MS = 1_000L
-    private val LIMITS = ServiceLimits(apiThreads = 4, meshThreads = 2, waitingUserRequests = 8)
+    private const val ROUND_INTERVAL_MS = 625L
+    private const val EVENT_LOOP_STOP_TIMEOUT_MS = 1_000L
+    private val LIMITS = ServiceLimits(apiThreads = 4, peerApiThreads = 2, maxPendingUserRequests = 8)
 
     /**
      * Runs for about three seconds on the calling thread and some of its own.
@@ -54,7 +54,7 @@
             action()
         } finally {
             eventLoop.interrupt()
-            eventLoop.join(LOOP_END_MS)
+            eventLoop.join(EVENT_LOOP_STOP_TIMEOUT_MS)
         }
     }
 
@@ -64,11 +64,11 @@
         val client = HttpCaller { _, _ -> unanswered.countDown() }
         try {
             repeat(ROUNDS) {
-                Thread.sleep(ROUND_MS)
+                Thread.sleep(ROUND_INTERVAL_MS)
                 TrainingRequest.ALL.forEach { client.start(0, callOf(target, it)) }
             }
             // The last round's answers; what does not come in time is not needed.
-            unanswered.await(ROUND_MS, TimeUnit.MILLISECONDS)
+            unanswered.await(ROUND_INTERVAL_MS, TimeUnit.MILLISECONDS)
         } finally {
             client.stop()
         }
--- a/src/main/kotlin/mintpick/cli/Main.kt
+++ b/src/main/kotlin/mintpick/cli/Main.kt
@@ -71,27 +71,35 @@
     private fun serve(loaded: LoadedSettings) {
         val settings = loaded.settings
         val maxConnections = settings.resources.maxConnections
-        JdkServer.prepare(maxConnections * KEPT_NUMERATOR / KEPT_DENOMINATOR)
-        val limits = ServiceLimits(API_THREADS, MESH_THREADS, maxOf(MIN_WAITING, maxConnections / CONNECTIONS_PER_WAITING))
+        JdkServer.prepare(maxConnections * IDLE_SHARE_NUMERATOR / IDLE_SHARE_DENOMINATOR)
+        val limits =
+            ServiceLimits(
+                API_THREADS,
+                PEER_API_THREADS,
+                maxOf(
+                    MIN_PENDING_USER_REQUESTS,
+                    maxConnections / CONNECTIONS_PER_PENDING_USER_REQUEST,
+                ),
+            )
         Service(settings, loaded.operators, SplittableRandom(SecureRandom().nextLong()), limits).use { service ->
             service.start()
-            LOG.info("started node={} zone={} api={} mesh={}", settings.node, settings.zone, settings.api, settings.mesh)
+            LOG.info("started node={} zone={} api={} mesh={}", settings.node, settings.zone, settings.api, settings.peerApi)
             service.run()
         }
     }
 
     private companion object {
         val LOG = LoggerFactory.getLogger("mintpick")
-        const val MESH_THREADS = 6
+        const val PEER_API_THREADS = 6
         const val API_THREADS = 32
 
         /** Three quarters of the connections may be kept open while idle. */
-        const val KEPT_NUMERATOR = 3
-        const val KEPT_DENOMINATOR = 4
+        const val IDLE_SHARE_NUMERATOR = 3
+        const val IDLE_SHARE_DENOMINATOR = 4
 
         /** Users' requests that may wait at once: a part of the sockets, so that workers and health checks keep theirs. */
-        const val MIN_WAITING = 48
-        const val CONNECTIONS_PER_WAITING = 8
+        const val MIN_PENDING_USER_REQUESTS = 48
+        const val CONNECTIONS_PER_PENDING_USER_REQUEST = 8
     }
 }
 
--- a/src/main/kotlin/mintpick/cli/Service.kt
+++ b/src/main/kotlin/mintpick/cli/Service.kt
@@ -17,13 +17,13 @@
  * How much the service takes on at once.
  *
  * @param apiThreads threads that read requests of users, workers and health checks
- * @param meshThreads threads that read requests of other controllers
- * @param waitingUserRequests users' requests that may wait for their answer
+ * @param peerApiThreads threads that read requests of other controllers
+ * @param maxPendingUserRequests users' requests that may wait for their answer
  */
 internal data class ServiceLimits(
     val apiThreads: Int,
-    val meshThreads: Int,
-    val waitingUserRequests: Int,
+    val peerApiThreads: Int,
+    val maxPendingUserRequests: Int,
 )
 
 /**
@@ -36,12 +36,12 @@
     random: SplittableRandom,
     private val limits: ServiceLimits,
 ) : AutoCloseable {
-    private val caller = HttpCaller(::putOutcome)
-    private val eventLoop: EventLoop = EventLoop(Engine(settings, operators, random), caller::start, ::steadyUs, ::wallUs)
-    private val routes = Routes(eventLoop::offer, eventLoop::isUp, limits.waitingUserRequests, ::steadyUs)
-    private val meshServer = JdkServer(settings.mesh, limits.meshThreads)
+    private val caller = HttpCaller(::enqueueOutcome)
+    private val eventLoop: EventLoop = EventLoop(Engine(settings, operators, random), caller::start, ::monotonicUs, ::wallClockUs)
+    private val routes = Routes(eventLoop::offer, eventLoop::isUp, limits.maxPendingUserRequests, ::monotonicUs)
+    private val peerApiServer = JdkServer(settings.peerApi, limits.peerApiThreads)
     private val apiServer = JdkServer(settings.api, limits.apiThreads)
-    private val overdueCheck = Thread(null, ::checkOverdue, "overdue").apply { isDaemon = true }
+    private val requestExpiryThread = Thread(null, ::expireRequestsPeriodically, "overdue").apply { isDaemon = true }
 
     /**
      * Opens the servers; requests wait until the event loop runs.
@@ -49,9 +49,9 @@
      * @throws java.io.IOException if an address can't be bound; what was opened until then is closed by [close]
      */
     fun start() {
-        meshServer.start(routes.peerApi)
+        peerApiServer.start(routes.peerApi)
         apiServer.start(routes.api)
-        overdueCheck.start()
+        requestExpiryThread.start()
     }
 
     /** Runs the event loop on this thread until it is interrupted; the interrupt flag is set then. */
@@ -59,22 +59,22 @@
 
     /** Closes servers and connections at once; the event loop must have ended. */
     override fun close() {
-        overdueCheck.interrupt()
+        requestExpiryThread.interrupt()
         apiServer.stop()
-        meshServer.stop()
+        peerApiServer.stop()
         caller.stop()
     }
 
-    private fun putOutcome(
+    private fun enqueueOutcome(
         id: Long,
         outcome: Outcome,
     ) = eventLoop.put(Event.CallDone(id, outcome))
 
-    private fun checkOverdue() {
+    private fun expireRequestsPeriodically() {
         try {
             while (true) {
                 routes.expireOverdueRequests()
-                Thread.sleep(OVERDUE_CHECK_MS)
+                Thread.sleep(REQUEST_EXPIRY_INTERVAL_MS)
             }
         } catch (_: InterruptedException) {
             // The service is closed; the flag is for whoever looks at this thread.
@@ -83,11 +83,11 @@
     }
 
     private companion object {
-        const val OVERDUE_CHECK_MS = 250L
+        const val REQUEST_EXPIRY_INTERVAL_MS = 250L
         const val NANOS_PER_MICRO = 1_000L
 
-        fun steadyUs(): Micros = System.nanoTime() / NANOS_PER_MICRO
+        fun monotonicUs(): Micros = System.nanoTime() / NANOS_PER_MICRO
 
-        fun wallUs(): Micros = System.currentTimeMillis() * MILLI
+        fun wallClockUs(): Micros = System.currentTimeMillis() * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/cli/TrainingInput.kt
+++ b/src/main/kotlin/mintpick/cli/TrainingInput.kt
@@ -5,7 +5,7 @@
 /** The local ports that [ClassDataTraining] uses: the service's own two, and that of [FakeServices]. */
 internal data class TrainingPorts(
     val api: Int,
-    val mesh: Int,
+    val peerApi: Int,
     val services: Int,
 ) {
     companion object {
@@ -17,8 +17,8 @@
         fun free(): TrainingPorts =
             // All three are open at once, so that they differ.
             ServerSocket(0).use { api ->
-                ServerSocket(0).use { mesh ->
-                    ServerSocket(0).use { services -> TrainingPorts(api.localPort, mesh.localPort, services.localPort) }
+                ServerSocket(0).use { peerApi ->
+                    ServerSocket(0).use { services -> TrainingPorts(api.localPort, peerApi.localPort, services.localPort) }
                 }
             }
     }
@@ -52,26 +52,26 @@
 }
 
 /** Settings as the platform writes them, with the [ports] of this run: every section that the parser knows. */
-internal fun trainingSettings(ports: TrainingPorts): String = addresses(ports) + "\n\n" + PLATFORM
+internal fun trainingSettings(ports: TrainingPorts): String = addresses(ports) + "\n\n" + PLATFORM_SECTIONS
 
 private fun addresses(ports: TrainingPorts): String =
     """
     node = "a"
     domain = "z"
     api_addr = "127.0.0.1:${ports.api}"
-    mesh_addr = "127.0.0.1:${ports.mesh}"
+    mesh_addr = "127.0.0.1:${ports.peerApi}"
 
     [[peers]]
     node = "b"
     domain = "z"
-    addr = "127.0.0.1:${ports.mesh}"
+    addr = "127.0.0.1:${ports.peerApi}"
 
     [endpoints]
     cloud = "127.0.0.1:${ports.services}"
     state = "127.0.0.1:${ports.services}"
     """.trimIndent()
 
-private val PLATFORM =
+private val PLATFORM_SECTIONS =
     """
     [settings]
     zones = ["z"]
--- a/src/main/kotlin/mintpick/cloud/CloudProtocol.kt
+++ b/src/main/kotlin/mintpick/cloud/CloudProtocol.kt
@@ -44,13 +44,13 @@
     /** Asks for the page of rented machines that follows the machine [after], or for the first; read by [readList]. */
     fun list(after: String?): Call {
         val since = if (after == null) "" else "since=$after&"
-        return Call(target, "GET", "/rentals?${since}limit=$PAGE_MACHINES", timeoutUs = TIMEOUT)
+        return Call(target, "GET", "/rentals?${since}limit=$PAGE_SIZE", timeoutUs = TIMEOUT)
     }
 
-    /** Rents up to [MAX_RENT] machines; read by [readRent]. */
+    /** Rents up to [MAX_MACHINES_PER_RENTAL] machines; read by [readRent]. */
     fun rent(request: RentalRequest) = Call(target, "POST", "/rentals", encode(RentalRequest.serializer(), request), TIMEOUT)
 
-    /** Returns up to [MAX_RELEASE] machines by name; read by [readRelease]. */
+    /** Returns up to [MAX_MACHINES_PER_RELEASE] machines by name; read by [readRelease]. */
     fun release(machines: List<String>) =
         Call(target, "POST", "/rentals/release", encode(MachineNames.serializer(), MachineNames(machines)), TIMEOUT)
 
@@ -108,13 +108,13 @@
         private val LOG = LoggerFactory.getLogger(CloudProtocol::class.java)
         private const val OK = 200
         private const val UNAVAILABLE = 503
-        private const val PAGE_MACHINES = 500
+        private const val PAGE_SIZE = 500
         private const val TIMEOUT: Micros = 3_000 * MILLI
 
         /** Most machines that one rental may ask for. */
-        const val MAX_RENT = 50
+        const val MAX_MACHINES_PER_RENTAL = 50
 
         /** Most machines that one release may name. */
-        const val MAX_RELEASE = 100
+        const val MAX_MACHINES_PER_RELEASE = 100
     }
 }
--- a/src/main/kotlin/mintpick/config/OperatorsFile.kt
+++ b/src/main/kotlin/mintpick/config/OperatorsFile.kt
@@ -61,7 +61,7 @@
          */
         fun parse(text: String): Operators =
             try {
-                OperatorsCheck(YAML.decodeFromString(serializer(), text)).operators()
+                OperatorsValidator(YAML.decodeFromString(serializer(), text)).validatedOperators()
             } catch (e: YamlException) {
                 throw ConfigException("operators: line ${e.line}: ${e.messageInOneLine()}", e)
             } catch (e: SerializationException) {
--- a/src/main/kotlin/mintpick/config/PlatformFile.kt
+++ b/src/main/kotlin/mintpick/config/PlatformFile.kt
@@ -14,7 +14,7 @@
     val node: String,
     @SerialName("domain") val zone: String,
     @SerialName("api_addr") val apiAddress: String,
-    @SerialName("mesh_addr") val meshAddress: String,
+    @SerialName("mesh_addr") val peerApiAddress: String,
     val peers: List<PeerEntry> = emptyList(),
     val endpoints: Endpoints,
     val settings: Body,
@@ -73,7 +73,7 @@
      */
     @Serializable
     data class Workers(
-        @SerialName("report_s") val reportS: Double,
+        @SerialName("report_s") val heartbeatIntervalS: Double,
         @SerialName("lease_s") val leaseS: Double,
         @SerialName("cancel_s") val cancelS: Double,
     )
--- a/src/main/kotlin/mintpick/config/Settings.kt
+++ b/src/main/kotlin/mintpick/config/Settings.kt
@@ -22,7 +22,7 @@
     /** Listener for users and workers. */
     val api: Address,
     /** Listener for the other controllers. */
-    val mesh: Address,
+    val peerApi: Address,
     val peers: List<Peer>,
     val cloud: Address,
     val state: Address,
@@ -30,7 +30,7 @@
     val teams: List<PlatformFile.TeamEntry>,
     val objectives: List<PlatformFile.Objective>,
     /** Interval at which a worker reports. */
-    val reportUs: Micros,
+    val heartbeatIntervalUs: Micros,
     /** How long a worker's lease holds after the last report that was answered. */
     val leaseUs: Micros,
     /** Within what time after a cancellation the job's tasks must be gone; longer than [leaseUs]. */
@@ -66,6 +66,6 @@
          *
          * @throws ConfigException naming the first field that is missing, malformed or out of range
          */
-        fun parse(text: String): Settings = SettingsCheck(PlatformFile.parse(text)).settings()
+        fun parse(text: String): Settings = SettingsValidator(PlatformFile.parse(text)).validatedSettings()
     }
 }
--- a/src/main/kotlin/mintpick/config/SettingsCheck.kt
+++ b/src/main/kotlin/mintpick/config/SettingsValidator.kt
@@ -5,17 +5,17 @@
 import kotlin.math.roundToLong
 
 /** Checks the platform's [file] and converts it to [Settings]; only the first fault found is reported. */
-internal class SettingsCheck(
+internal class SettingsValidator(
     private val file: PlatformFile,
 ) {
     private val body = file.settings
 
     /** @throws ConfigException naming the field that is out of range */
-    fun settings(): Settings {
+    fun validatedSettings(): Settings {
         checkNames()
         checkTeams()
         checkCancellationExceedsLease()
-        return converted()
+        return toSettings()
     }
 
     private fun checkNames() {
@@ -39,46 +39,46 @@
         if (body.workers.cancelS <= body.workers.leaseS) throw ConfigException("settings.workers.cancel_s: must exceed lease_s")
     }
 
-    private fun converted(): Settings =
+    private fun toSettings(): Settings =
         Settings(
             node = file.node,
             zone = file.zone,
             api = Address.parse("api_addr", file.apiAddress),
-            mesh = Address.parse("mesh_addr", file.meshAddress),
+            peerApi = Address.parse("mesh_addr", file.peerApiAddress),
             peers = file.peers.map { Peer(it.node, it.zone, Address.parse("peers.addr", it.address)) },
             cloud = Address.parse("endpoints.cloud", file.endpoints.cloud),
             state = Address.parse("endpoints.state", file.endpoints.state),
             zones = body.zones,
             teams = body.teams,
             objectives = body.objectives,
-            reportUs = micros("settings.workers.report_s", body.workers.reportS),
-            leaseUs = micros("settings.workers.lease_s", body.workers.leaseS),
-            cancelUs = micros("settings.workers.cancel_s", body.workers.cancelS),
-            limits = smallestLimits(),
+            heartbeatIntervalUs = requirePositiveDuration("settings.workers.report_s", body.workers.heartbeatIntervalS),
+            leaseUs = requirePositiveDuration("settings.workers.lease_s", body.workers.leaseS),
+            cancelUs = requirePositiveDuration("settings.workers.cancel_s", body.workers.cancelS),
+            limits = effectiveLimits(),
             valueKbAtStart = body.state.valueKb,
-            cloudRps = positive("settings.cloud.rps", body.cloud.rps),
-            listLagUs = micros("settings.cloud.list_lag_s", body.cloud.listLagS),
+            cloudRps = requirePositive("settings.cloud.rps", body.cloud.rps),
+            listLagUs = requirePositiveDuration("settings.cloud.list_lag_s", body.cloud.listLagS),
             resources = body.resources,
         )
 
     /** The smaller of the present and the announced limit of each kind: nobody says when the announced ones come into force. */
-    private fun smallestLimits(): PlatformFile.State {
+    private fun effectiveLimits(): PlatformFile.State {
         val current = body.state
         checkLimits("settings.state", current)
         val next = current.next ?: return current
-        val later =
+        val announced =
             PlatformFile.State(
                 rps = next.rps ?: current.rps,
                 writeRps = next.writeRps ?: current.writeRps,
                 valueKb = next.valueKb ?: current.valueKb,
                 transactionOps = next.transactionOps ?: current.transactionOps,
             )
-        checkLimits("settings.state.next", later)
+        checkLimits("settings.state.next", announced)
         return PlatformFile.State(
-            rps = minOf(current.rps, later.rps),
-            writeRps = minOf(current.writeRps, later.writeRps),
-            valueKb = minOf(current.valueKb, later.valueKb),
-            transactionOps = minOf(current.transactionOps, later.transactionOps),
+            rps = minOf(current.rps, announced.rps),
+            writeRps = minOf(current.writeRps, announced.writeRps),
+            valueKb = minOf(current.valueKb, announced.valueKb),
+            transactionOps = minOf(current.transactionOps, announced.transactionOps),
         )
     }
 
@@ -86,13 +86,13 @@
         field: String,
         limits: PlatformFile.State,
     ) {
-        positive("$field.rps", limits.rps)
-        positive("$field.write_rps", limits.writeRps)
-        positive("$field.value_kb", limits.valueKb)
+        requirePositive("$field.rps", limits.rps)
+        requirePositive("$field.write_rps", limits.writeRps)
+        requirePositive("$field.value_kb", limits.valueKb)
         if (limits.transactionOps < 1) throw ConfigException("$field.txn_ops: must be at least 1")
     }
 
-    private fun positive(
+    private fun requirePositive(
         field: String,
         value: Double,
     ): Double {
@@ -100,8 +100,8 @@
         return value
     }
 
-    private fun micros(
+    private fun requirePositiveDuration(
         field: String,
         seconds: Double,
-    ): Micros = (positive(field, seconds) * SECOND).roundToLong()
+    ): Micros = (requirePositive(field, seconds) * SECOND).roundToLong()
 }
--- a/src/main/kotlin/mintpick/core/Candidates.kt
+++ b/src/main/kotlin/mintpick/core/Candidates.kt
@@ -22,7 +22,7 @@
     /** Its agent has accepted this controller: until then it takes no work, though work may wait for it. */
     val isReady: Boolean = true,
     /** Has booted: false for a machine that was only requested or is booting. */
-    val isUp: Boolean = true,
+    val hasBooted: Boolean = true,
 )
 
 /**
@@ -44,7 +44,7 @@
         val freeShare: Double get() = free.dominantShare(candidate.total)
 
         /** Whether the rules of [spec] for machines allow this one. */
-        fun isAllowed(spec: JobSpec): Boolean = Placer.allowed(spec, candidate.type, candidate.zone, candidate.spot)
+        fun isAllowed(spec: JobSpec): Boolean = Placer.isAllowed(spec, candidate.type, candidate.zone, candidate.spot)
     }
 
     /**
@@ -64,14 +64,14 @@
     private val unplaceable = ArrayList<JobSpec>()
 
     /** Whether [count] tasks of [spec] would fit on these machines, were they empty. */
-    fun couldHold(
+    fun couldFit(
         spec: JobSpec,
         count: Int,
     ): Boolean {
-        var held = 0
+        var taskCapacity = 0
         for (entry in entries) {
-            if (entry.isAllowed(spec)) held += spec.demand.countIn(entry.candidate.total)
-            if (held >= count) return true
+            if (entry.isAllowed(spec)) taskCapacity += spec.demand.countIn(entry.candidate.total)
+            if (taskCapacity >= count) return true
         }
         return false
     }
@@ -80,7 +80,7 @@
     operator fun get(machine: MachineId): CandidateMachine? = byMachine[machine]?.candidate
 
     /** Takes [demand] of what is free on [machine] for the rest of the pass; no effect if it is not among these. */
-    fun take(
+    fun reserve(
         machine: MachineId,
         demand: Resources,
     ) {
--- a/src/main/kotlin/mintpick/core/FailureTracker.kt
+++ b/src/main/kotlin/mintpick/core/FailureTracker.kt
@@ -33,7 +33,7 @@
      * A task of [job] ended with an error on [machine] at [now]; [hasSucceeded] says whether any of the job's tasks ever
      * completed.
      */
-    fun failed(
+    fun recordFailure(
         machine: MachineId,
         job: JobId,
         hasSucceeded: Boolean,
@@ -71,7 +71,7 @@
      * A task of [job] completed on [machine], or has been running there for long enough: the job's failures are forgotten,
      * and the oldest one on the machine.
      */
-    fun succeeded(
+    fun recordSuccess(
         machine: MachineId,
         job: JobId,
     ) {
@@ -128,7 +128,7 @@
         private const val MAX_DOUBLINGS = 6
 
         /** How many tasks of a faulty job with [waiting] and [placed] ones may be started now. */
-        fun probes(
+        fun startableTasks(
             waiting: Int,
             placed: Int,
         ): Int = minOf(waiting, maxOf(0, FAULTY_JOB_MAX_TASKS - placed))
--- a/src/main/kotlin/mintpick/core/FundingPolicy.kt
+++ b/src/main/kotlin/mintpick/core/FundingPolicy.kt
@@ -30,7 +30,7 @@
      * Which of a team's unfinished jobs its guarantee pays for: the earliest ones that fit into it together.
      * [jobs] come in order of submission.
      */
-    fun funded(
+    fun fundedJobs(
         guarantee: Resources,
         jobs: List<UnfinishedJob>,
     ): Set<JobId> {
--- a/src/main/kotlin/mintpick/core/Job.kt
+++ b/src/main/kotlin/mintpick/core/Job.kt
@@ -15,12 +15,12 @@
     /** The version of the main record; 0 if it is not stored yet. */
     val version: Long,
     /** Records that hold the specification apart from the main one; 0: it is in the main record. */
-    val specPieces: Int = 0,
+    val specPieceCount: Int = 0,
 )
 
 /**
  * A job that is not final, or is cancelled while reports do not yet prove that all its tasks have ended. Immutable. Tasks are numbered from 0 on and kept in
- * chunks of [CHUNK].
+ * chunks of [TASKS_PER_CHUNK].
  *
  * @param submittedUs when the job was submitted: a time of day in microseconds
  * @param chunks the chunks that are stored, by index; all tasks of the others wait
@@ -33,69 +33,69 @@
     private val record: JobRecordInfo,
     private val chunks: Map<Int, Chunk>,
     /** Whether all jobs that it waits for are done; before that none of its tasks may start. Derived, never stored. */
-    val isReleased: Boolean = true,
+    val arePredecessorsDone: Boolean = true,
 ) {
     /** The version of the main record; 0 if it is not stored yet. */
     val version: Long get() = record.version
 
     /** Records that hold the specification apart from the main one; 0: it is in the main record. */
-    val specPieces: Int get() = record.specPieces
+    val specPieceCount: Int get() = record.specPieceCount
 
     /** Number of chunks, stored or not. */
-    val chunkCount: Int get() = (spec.tasks + CHUNK - 1) / CHUNK
+    val chunkCount: Int get() = (spec.tasks + TASKS_PER_CHUNK - 1) / TASKS_PER_CHUNK
 
     /** Number of tasks that are done. */
-    val done: Int = chunks.values.sumOf { it.doneCount }
+    val doneCount: Int = chunks.values.sumOf { it.doneCount }
 
     /** Number of tasks that are assigned to a machine. */
-    val placed: Int = chunks.values.sumOf { it.placed.size }
+    val placedCount: Int = chunks.values.sumOf { it.placed.size }
 
     /** Number of tasks that wait for a machine; none while the job itself waits for others. */
-    val waiting: Int get() = if (stage == StoredStage.OPEN && isReleased) spec.tasks - done - placed else 0
+    val waitingCount: Int get() = if (stage == StoredStage.OPEN && arePredecessorsDone) spec.tasks - doneCount - placedCount else 0
 
     /** The chunk [index]; an empty one if it is not stored. */
-    fun chunk(index: Int): Chunk = chunks[index] ?: Chunk.empty(sizeOf(index))
+    fun chunk(index: Int): Chunk = chunks[index] ?: Chunk.empty(chunkSize(index))
 
     /** The chunk that holds [task]. */
-    fun chunkOf(task: Int): Chunk = chunk(task / CHUNK)
+    fun chunkOf(task: Int): Chunk = chunk(task / TASKS_PER_CHUNK)
 
     /** Whether [task] is done; false for one that the job does not have. */
-    fun isDone(task: Int): Boolean = task in 0 until spec.tasks && chunkOf(task).isDone(task % CHUNK)
+    fun isDone(task: Int): Boolean = task in 0 until spec.tasks && chunkOf(task).isDone(task % TASKS_PER_CHUNK)
 
     /** The current assignment of [task]; null if it is not placed or the job does not have it. */
-    fun placement(task: Int): Placement? = if (task in 0 until spec.tasks) chunkOf(task).placed[task % CHUNK] else null
+    fun placement(task: Int): Placement? = if (task in 0 until spec.tasks) chunkOf(task).placed[task % TASKS_PER_CHUNK] else null
 
     /** The placed tasks with their assignments, chunk by chunk. */
     fun placements(): Sequence<AssignedTask> =
         chunks.asSequence().flatMap { (index, chunk) ->
-            chunk.placed.asSequence().map { (task, placement) -> AssignedTask(index * CHUNK + task, placement) }
+            chunk.placed.asSequence().map { (task, placement) -> AssignedTask(index * TASKS_PER_CHUNK + task, placement) }
         }
 
     /** The tasks that wait for a machine, lowest first; none while the job itself waits for others. */
     fun waitingTasks(): Sequence<Int> {
-        if (waiting == 0) return emptySequence()
-        return (0 until chunkCount).asSequence().flatMap { index -> chunk(index).waiting().map { index * CHUNK + it } }
+        if (waitingCount == 0) return emptySequence()
+        return (0 until chunkCount).asSequence().flatMap { index -> chunk(index).waiting().map { index * TASKS_PER_CHUNK + it } }
     }
 
     /** The job with the given properties changed. */
     fun with(
         version: Long = this.version,
         stage: StoredStage = this.stage,
-        isReleased: Boolean = this.isReleased,
-        specPieces: Int = this.specPieces,
-    ): Job = Job(id, spec, stage, submittedUs, JobRecordInfo(version, specPieces), chunks, isReleased)
+        arePredecessorsDone: Boolean = this.arePredecessorsDone,
+        specPieceCount: Int = this.specPieceCount,
+    ): Job = Job(id, spec, stage, submittedUs, JobRecordInfo(version, specPieceCount), chunks, arePredecessorsDone)
 
     /** The job with [chunk] in place of its chunk [index]. */
     fun withChunk(
         index: Int,
         chunk: Chunk,
-    ): Job = Job(id, spec, stage, submittedUs, record, chunks + (index to chunk), isReleased)
+    ): Job = Job(id, spec, stage, submittedUs, record, chunks + (index to chunk), arePredecessorsDone)
 
     /** Number of tasks in the chunk [index]. */
-    fun sizeOf(index: Int): Int = min(CHUNK, spec.tasks - index * CHUNK)
+    fun chunkSize(index: Int): Int = min(TASKS_PER_CHUNK, spec.tasks - index * TASKS_PER_CHUNK)
 
     companion object {
         /** Tasks per record; a chunk whose tasks all sit on machines of their own stays below the smallest value limit. */
-        const val CHUNK = 256
+        const val TASKS_PER_CHUNK = 256
     }
 }
--- a/src/main/kotlin/mintpick/core/MachineView.kt
+++ b/src/main/kotlin/mintpick/core/MachineView.kt
@@ -32,27 +32,27 @@
 class MachineView(
     val id: MachineId,
     /** When the first message came or the first command was sent. */
-    val firstHeardUs: Micros,
+    val firstContactUs: Micros,
 ) {
     /** A start that may still be executed; [session] is the one of the worker that it was sent to. */
-    private class OpenStart(
+    private class PendingStart(
         val token: Long,
-        val session: Long,
+        val agentEpoch: Long,
     ) {
         /** A command with an older session or token is dropped from now on, however late it arrives. */
-        fun isRefusedAfter(report: MachineReport): Boolean = report.session > session || report.token > token
+        fun isRefusedAfter(report: MachineReport): Boolean = report.agentEpoch > agentEpoch || report.token > token
     }
 
     /** The newest message; null before the first. */
-    var latest: MachineReport? = null
+    var latestStatus: MachineReport? = null
         private set
 
     /** When the newest message came. */
-    var heardUs: Micros = firstHeardUs
+    var lastStatusUs: Micros = firstContactUs
         private set
 
     /** When a report (not an answer to a command) last came. */
-    var reportedUs: Micros = firstHeardUs
+    var lastHeartbeatUs: Micros = firstContactUs
         private set
 
     /** When the machine ends according to a notice of its termination; null without one. */
@@ -60,49 +60,49 @@
         private set
 
     /** When the worker's lease was renewed at the latest. */
-    private var renewedUs: Micros = firstHeardUs
+    private var leaseRenewedUs: Micros = firstContactUs
     private var tasks: Map<AttemptId, TaskReport> = emptyMap()
 
     /** Starts in direct commands that may still be answered. */
-    private val inFlight = HashMap<AttemptId, OpenStart>()
+    private val inFlightStarts = HashMap<AttemptId, PendingStart>()
 
     /** The latest start of each attempt that was not answered: it may be executed later, whatever became of a repetition. */
-    private val lost = HashMap<AttemptId, OpenStart>()
+    private val timedOutStarts = HashMap<AttemptId, PendingStart>()
 
     /** Starts that went out with the answer to the latest report; until a newer message they may still arrive. */
-    private var answered: Set<AttemptId> = emptySet()
+    private var startsInResponse: Set<AttemptId> = emptySet()
 
     /** Images on the machine with their sizes in GB, the oldest first. */
     private val images = LinkedHashMap<String, Double>()
-    private var lastReportSession = 0L
-    private var lastReportSeq = -1L
+    private var lastHeartbeatEpoch = 0L
+    private var lastHeartbeatSeq = -1L
 
     /** The worker's session (its incarnation); 0 before the first message. */
-    val session: Long get() = latest?.session ?: 0
+    val agentEpoch: Long get() = latestStatus?.agentEpoch ?: 0
 
     /** The highest fencing token that the worker has shown; 0 before the first message. */
-    val token: Long get() = latest?.token ?: 0
+    val token: Long get() = latestStatus?.token ?: 0
 
     /** The attempts in the newest message and their states. */
-    val reported: Collection<Map.Entry<AttemptId, TaskReport>> get() = tasks.entries
+    val reportedAttempts: Collection<Map.Entry<AttemptId, TaskReport>> get() = tasks.entries
 
     /** Names of the images on the machine. */
     val imageNames: Set<String> get() = images.keys
 
     /** A start without an answer on a machine that has reported since: only a higher token makes it harmless. */
-    val needsHigherToken: Boolean get() = lost.isNotEmpty()
+    val needsHigherToken: Boolean get() = timedOutStarts.isNotEmpty()
 
     /** What the newest message says of [attempt]; null if it is absent there. */
-    fun state(attempt: AttemptId): TaskReport? = tasks[attempt]
+    fun taskReport(attempt: AttemptId): TaskReport? = tasks[attempt]
 
     /**
      * Whether the worker may still wait for an answer to [report]. It has one report in flight at a time, so one that is not
      * newer than an earlier one is a late copy, and nobody reads the answer. To be asked once for each report.
      */
-    fun awaits(report: MachineReport): Boolean {
-        if (!isNewer(report, lastReportSession, lastReportSeq)) return false
-        lastReportSession = report.session
-        lastReportSeq = report.seq
+    fun recordHeartbeat(report: MachineReport): Boolean {
+        if (!isNewer(report, lastHeartbeatEpoch, lastHeartbeatSeq)) return false
+        lastHeartbeatEpoch = report.agentEpoch
+        lastHeartbeatSeq = report.seq
         return true
     }
 
@@ -110,30 +110,30 @@
      * Takes a message that came at [now], [direct] if it answers a command or a probe; false if a newer one is known already,
      * which delayed packets make possible.
      */
-    fun take(
+    fun applyStatus(
         report: MachineReport,
         now: Micros,
-        direct: Boolean,
+        isResponse: Boolean,
     ): Boolean {
-        val before = latest
-        if (before != null && !isNewer(report, before.session, before.seq)) return false
-        latest = report
-        heardUs = now
-        if (!direct) reportedUs = now
+        val before = latestStatus
+        if (before != null && !isNewer(report, before.agentEpoch, before.seq)) return false
+        latestStatus = report
+        lastStatusUs = now
+        if (!isResponse) lastHeartbeatUs = now
         tasks = tasksOf(report)
         // The worker has read that answer or given it up; in a later session it drops it.
-        if (!direct || report.session > (before?.session ?: 0)) answered = emptySet()
+        if (!isResponse || report.agentEpoch > (before?.agentEpoch ?: 0)) startsInResponse = emptySet()
         takeNotice(report.noticeS, now)
-        inFlight.values.removeIf { it.isRefusedAfter(report) }
-        lost.values.removeIf { it.isRefusedAfter(report) }
+        inFlightStarts.values.removeIf { it.isRefusedAfter(report) }
+        timedOutStarts.values.removeIf { it.isRefusedAfter(report) }
         return true
     }
 
     private fun isNewer(
         report: MachineReport,
-        session: Long,
+        agentEpoch: Long,
         seq: Long,
-    ): Boolean = report.session > session || (report.session == session && report.seq > seq)
+    ): Boolean = report.agentEpoch > agentEpoch || (report.agentEpoch == agentEpoch && report.seq > seq)
 
     private fun tasksOf(report: MachineReport): Map<AttemptId, TaskReport> {
         val tasks = LinkedHashMap<AttemptId, TaskReport>()
@@ -157,29 +157,29 @@
     }
 
     /** A start of [attempt] was sent in a direct command with [token] to the worker's [session]. */
-    fun startSent(
+    fun recordStartSent(
         attempt: AttemptId,
         token: Long,
-        session: Long,
+        agentEpoch: Long,
     ) {
-        inFlight[attempt] = OpenStart(token, session)
+        inFlightStarts[attempt] = PendingStart(token, agentEpoch)
     }
 
     /** The latest start of [attempt] was answered, or never left: it can't be executed later. */
-    fun startSettled(attempt: AttemptId) {
-        inFlight.remove(attempt)
+    fun recordStartResolved(attempt: AttemptId) {
+        inFlightStarts.remove(attempt)
     }
 
     /** No answer came: the start of [attempt] may be executed at any later time while its token and session hold. */
-    fun startLost(attempt: AttemptId) {
-        inFlight.remove(attempt)?.let { lost[attempt] = it }
+    fun recordStartTimeout(attempt: AttemptId) {
+        inFlightStarts.remove(attempt)?.let { timedOutStarts[attempt] = it }
     }
 
-    private fun isOpen(attempt: AttemptId): Boolean = attempt in inFlight || attempt in lost
+    private fun isStartPending(attempt: AttemptId): Boolean = attempt in inFlightStarts || attempt in timedOutStarts
 
     /** The answer to the latest report carries the [starts]. */
-    fun answeredWith(starts: Set<AttemptId>) {
-        answered = starts
+    fun recordStartsInResponse(starts: Set<AttemptId>) {
+        startsInResponse = starts
     }
 
     /** What the newest message proves of [attempt] to a controller whose fencing token is [token]. */
@@ -190,17 +190,17 @@
         val report = tasks[attempt]
         if (report?.state == TaskState.EXITED && report.cause == ExitCause.DONE) return Proof.Completed
         // Below that token an earlier controller's command may still be on its way.
-        if (latest == null || this.token != token || isOpen(attempt)) return Proof.None
+        if (latestStatus == null || this.token != token || isStartPending(attempt)) return Proof.None
         return when {
-            report == null -> if (attempt in answered) Proof.None else Proof.Ended(null)
+            report == null -> if (attempt in startsInResponse) Proof.None else Proof.Ended(null)
             report.state == TaskState.EXITED -> Proof.Ended(report.cause)
             else -> Proof.None
         }
     }
 
     /** This controller answered a report at [now], so the worker's lease may have been renewed as of then. */
-    fun answeredReport(now: Micros) {
-        renewedUs = now
+    fun recordHeartbeatResponse(now: Micros) {
+        leaseRenewedUs = now
     }
 
     /**
@@ -215,15 +215,15 @@
         firstToken: Long,
         leaseUs: Micros,
     ): Boolean {
-        if (latest == null || token < firstToken || renewedUs < since) return false
-        return isLeaseExpired(now, maxOf(renewedUs, heardUs), leaseUs)
+        if (latestStatus == null || token < firstToken || leaseRenewedUs < since) return false
+        return isLeaseExpired(now, maxOf(leaseRenewedUs, lastStatusUs), leaseUs)
     }
 
     /** Whether the worker may forget [attempt], as a command with [token] says: no start that may still arrive can bring it back. */
     fun mayForget(
         attempt: AttemptId,
         token: Long,
-    ): Boolean = this.token == token && !isOpen(attempt) && attempt !in answered
+    ): Boolean = this.token == token && !isStartPending(attempt) && attempt !in startsInResponse
 
     /** Remembers that [image] with a size of [gb] GB is on the machine; the oldest are evicted as they are there, from a cache of [cacheGb] GB. */
     fun recordImage(
--- a/src/main/kotlin/mintpick/core/Placer.kt
+++ b/src/main/kotlin/mintpick/core/Placer.kt
@@ -17,11 +17,11 @@
     /** Tasks of the job that are placed already, by zone; empty if the job has no rule about zones. */
     val tasksPerZone: Map<String, Int>,
     /** Most tasks to place. */
-    val limit: Int,
+    val maxTasks: Int,
     /** So much waits that a sample of the machines, from a random one on, has to do in place of the fullest. */
     val isOverloaded: Boolean = false,
     /** Machines that take no task of the job. */
-    val avoided: Set<MachineId> = emptySet(),
+    val excludedMachines: Set<MachineId> = emptySet(),
     /** Whether on-demand machines take no task of the job, although its own rules allow them. */
     val spotOnly: Boolean = false,
 )
@@ -30,16 +30,16 @@
  * Finds machines for waiting tasks. It changes nothing but what [Candidates] remembers of unplaceable specifications.
  *
  * @param random decides where the search begins under overload
- * @param sample how many machines with free capacity are compared for one job
+ * @param sampleSize how many machines with free capacity are compared for one job
  */
 class Placer(
     private val random: RandomGenerator,
-    private val sample: Int,
+    private val sampleSize: Int,
 ) {
     /** A machine that holds [count] tasks. */
     private class Match(
         val entry: Candidates.Entry,
-        val count: Int,
+        val taskCapacity: Int,
     ) {
         val zone: String get() = entry.candidate.zone
         val machine: MachineId get() = entry.candidate.machine
@@ -54,18 +54,18 @@
         candidates: Candidates,
     ): List<PlacedTask> {
         val spec = request.spec
-        if (request.limit <= 0 || candidates.isUnplaceable(spec)) return emptyList()
+        if (request.maxTasks <= 0 || candidates.isUnplaceable(spec)) return emptyList()
         val zones = openZones(request, candidates)
         val matches = Search(request, candidates, zones).run().filter { isPermitted(it, request) }
         if (matches.isEmpty()) {
-            val searchedAllMachines = zones == candidates.zones && request.avoided.isEmpty() && !request.spotOnly
+            val searchedAllMachines = zones == candidates.zones && request.excludedMachines.isEmpty() && !request.spotOnly
             if (searchedAllMachines) candidates.recordUnplaceable(spec)
             return emptyList()
         }
         val zoneCounts = HashMap(request.tasksPerZone)
         val machines = if (spec.spread) pickSpread(request, matches, zoneCounts) else pickInOrder(request, matches, zoneCounts)
         return request.tasks
-            .take(request.limit)
+            .take(request.maxTasks)
             .zip(machines.asSequence(), ::PlacedTask)
             .toList()
     }
@@ -73,7 +73,7 @@
     private fun isPermitted(
         match: Match,
         request: PlacementRequest,
-    ): Boolean = match.machine !in request.avoided && (match.entry.candidate.spot || !request.spotOnly)
+    ): Boolean = match.machine !in request.excludedMachines && (match.entry.candidate.spot || !request.spotOnly)
 
     /** Zones that may take another task of [request]. */
     private fun openZones(
@@ -116,19 +116,19 @@
         private val zones: Set<String>,
     ) {
         private val spec = request.spec
-        private val limit = request.limit
+        private val maxTasks = request.maxTasks
         private val entries = if (spec.isService && !spec.spot) candidates.fullestOfServicesFirst else candidates.entries
         private val matches = ArrayList<Match>()
 
         /** Tasks that the matches hold, of each machine no more than the limit. */
-        private var held = 0
+        private var foundCapacity = 0
 
         /** The machines found, the best first. */
         fun run(): List<Match> {
             val startsAnywhere = request.isOverloaded && !spec.isService && entries.isNotEmpty()
             val start = if (startsAnywhere) random.nextInt(entries.size) else 0
             if (spec.spot) scan(start, spot = true)
-            if (held < limit || spec.spread) scan(start, spot = false)
+            if (foundCapacity < maxTasks || spec.spread) scan(start, spot = false)
             return matches.sortedWith(bestFirst(spec))
         }
 
@@ -145,7 +145,7 @@
                 val count = spec.demand.countIn(entry.free)
                 if (count == 0) continue
                 matches += Match(entry, count)
-                held += minOf(count, limit)
+                foundCapacity += minOf(count, maxTasks)
                 machinesPerZone.merge(candidate.zone, 1, Int::plus)
                 if (isEnough(machinesPerZone)) break
             }
@@ -153,8 +153,8 @@
 
         private fun isEnough(machinesPerZone: Map<String, Int>): Boolean {
             // The fullest may all be in one zone, and what spreads needs the others, too.
-            val coversZones = !spec.spread || zones.all { (machinesPerZone[it] ?: 0) >= sample / SURPLUS }
-            return coversZones && matches.size >= sample && held >= limit * SURPLUS
+            val coversZones = !spec.spread || zones.all { (machinesPerZone[it] ?: 0) >= sampleSize / SAMPLE_SURPLUS }
+            return coversZones && matches.size >= sampleSize && foundCapacity >= maxTasks * SAMPLE_SURPLUS
         }
     }
 
@@ -175,11 +175,11 @@
         val picks = ArrayList<MachineId>()
         for (match in matches) {
             val zoneCapacity = request.spec.zoneCap - (zoneCounts[match.zone] ?: 0)
-            val count = minOf(match.count, request.limit - picks.size, zoneCapacity)
+            val count = minOf(match.taskCapacity, request.maxTasks - picks.size, zoneCapacity)
             if (count <= 0) continue
             repeat(count) { picks += match.machine }
             zoneCounts.merge(match.zone, count, Int::plus)
-            if (picks.size >= request.limit) break
+            if (picks.size >= request.maxTasks) break
         }
         return picks
     }
@@ -192,13 +192,13 @@
     ): List<MachineId> {
         val queues = matches.groupBy { it.zone }.mapValues { (_, inZone) -> ArrayDeque(inZone) }
         val picks = ArrayList<MachineId>()
-        while (picks.size < request.limit) {
+        while (picks.size < request.maxTasks) {
             val (zone, queue) =
                 queues.entries
                     .filter { (zone, queue) -> queue.isNotEmpty() && (zoneCounts[zone] ?: 0) < request.spec.zoneCap }
                     .minByOrNull { zoneCounts[it.key] ?: 0 } ?: break
             val match = queue.removeFirst()
-            if (match.count > 1) queue.addFirst(Match(match.entry, match.count - 1))
+            if (match.taskCapacity > 1) queue.addFirst(Match(match.entry, match.taskCapacity - 1))
             picks += match.machine
             zoneCounts.merge(zone, 1, Int::plus)
         }
@@ -207,10 +207,10 @@
 
     companion object {
         /** How many times what is needed a sample has to hold. */
-        private const val SURPLUS = 3
+        private const val SAMPLE_SURPLUS = 3
 
         /** Whether the job's own rules for machines allow one of [type] in [zone], a [spot] one or not. */
-        fun allowed(
+        fun isAllowed(
             spec: JobSpec,
             type: String,
             zone: String,
--- a/src/main/kotlin/mintpick/core/PreemptionPolicy.kt
+++ b/src/main/kotlin/mintpick/core/PreemptionPolicy.kt
@@ -19,7 +19,7 @@
     /** Whether its team's guarantee pays for it. */
     val isFunded: Boolean,
     /** Whether its minimum runtime is over. */
-    val isExpired: Boolean,
+    val isPastMinimumRuntime: Boolean,
     /** Whether its team has used more than its share. */
     val isTeamOverShare: Boolean,
 )
@@ -66,7 +66,7 @@
         val isEntitled = preemptor.isFunded || (preemptor.priority == Priority.PRODUCTION && isHigher)
         if (!isEntitled) return null
         if (victim.isFunded) {
-            val isExposed = victim.isExpired && victim.isTeamOverShare && !preemptor.isTeamOverShare
+            val isExposed = victim.isPastMinimumRuntime && victim.isTeamOverShare && !preemptor.isTeamOverShare
             return if (isExposed && isHigher) PreemptionReason.EXPIRED_OVER_SHARE else null
         }
         return when {
--- a/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
+++ b/src/main/kotlin/mintpick/core/ScaleOutPlanner.kt
@@ -17,11 +17,11 @@
     /** Number of tasks. */
     val count: Int,
     /** Tasks of the job that run already, by zone. */
-    val perZone: Map<String, Int> = emptyMap(),
+    val tasksPerZone: Map<String, Int> = emptyMap(),
     /** Whether on-demand machines may be rented for work that may run on spot ones. */
     val mayRentOnDemand: Boolean = true,
     /** Work that may run on spot machines takes no capacity of on-demand ones, and is no reason to keep those. */
-    val keepsToSpot: Boolean = false,
+    val spotOnly: Boolean = false,
 )
 
 /** What to rent, and which of the existing machines no demand needs. */
@@ -82,7 +82,7 @@
         /** What tasks of [spec] may take: services also what they may preempt. */
         fun availableTo(spec: JobSpec): Resources = if (spec.isService) free + preemptible else free
 
-        fun take(
+        fun reserve(
             spec: JobSpec,
             count: Int,
         ) {
@@ -113,14 +113,14 @@
         fun result() = ScaleOutPlan(newMachines, existingBins.filter { !it.isUsed }.mapNotNullTo(HashSet()) { it.machine })
 
         fun pack(demand: CapacityDemand) {
-            val perZone = HashMap(demand.perZone)
+            val tasksPerZone = HashMap(demand.tasksPerZone)
             var left = demand.count
-            if (!isUnplaceable(demand.spec)) left = packIntoExisting(demand, left, perZone)
-            left = fill(demand.spec, left, newBins, perZone) { true }
+            if (!isUnplaceable(demand.spec)) left = packIntoExisting(demand, left, tasksPerZone)
+            left = fill(demand.spec, left, newBins, tasksPerZone) { true }
             while (left > 0) {
-                val bin = openBin(demand, left, perZone) ?: break
+                val bin = openBin(demand, left, tasksPerZone) ?: break
                 newBins += bin
-                left = fill(demand.spec, left, listOf(bin), perZone) { true }
+                left = fill(demand.spec, left, listOf(bin), tasksPerZone) { true }
             }
         }
 
@@ -135,16 +135,16 @@
         private fun packIntoExisting(
             demand: CapacityDemand,
             count: Int,
-            perZone: MutableMap<String, Int>,
+            tasksPerZone: MutableMap<String, Int>,
         ): Int {
             val spec = demand.spec
             var left = count
             // What may use spot machines leaves on-demand ones to what may not.
-            if (spec.spot) left = fill(spec, left, existingBins, perZone) { it.offer.spot }
-            if (!spec.spot || !demand.keepsToSpot) left = fill(spec, left, existingBins, perZone) { true }
+            if (spec.spot) left = fill(spec, left, existingBins, tasksPerZone) { it.offer.spot }
+            if (!spec.spot || !demand.spotOnly) left = fill(spec, left, existingBins, tasksPerZone) { true }
             // Only a search that no rule of the job narrowed says something about other jobs.
-            val searchedAllBins = !demand.keepsToSpot && spec.types == null && spec.zone == null
-            val isPlacedNowhere = perZone.values.sum() == 0
+            val searchedAllBins = !demand.spotOnly && spec.types == null && spec.zone == null
+            val isPlacedNowhere = tasksPerZone.values.sum() == 0
             if (left > 0 && searchedAllBins && isPlacedNowhere) unplaceable += spec
             return left
         }
@@ -154,19 +154,19 @@
             spec: JobSpec,
             count: Int,
             bins: List<MachineBin>,
-            perZone: MutableMap<String, Int>,
+            tasksPerZone: MutableMap<String, Int>,
             accepts: (MachineBin) -> Boolean,
         ): Int {
             var left = count
             for (bin in bins) {
                 if (left == 0) break
                 val offer = bin.offer
-                if (!accepts(bin) || !Placer.allowed(spec, offer.type, offer.zone, offer.spot)) continue
-                val zoneCapacity = spec.zoneCap - (perZone[offer.zone] ?: 0)
+                if (!accepts(bin) || !Placer.isAllowed(spec, offer.type, offer.zone, offer.spot)) continue
+                val zoneCapacity = spec.zoneCap - (tasksPerZone[offer.zone] ?: 0)
                 val taken = minOf(left, zoneCapacity, spec.demand.countIn(bin.availableTo(spec)))
                 if (taken <= 0) continue
-                bin.take(spec, taken)
-                perZone.merge(offer.zone, taken, Int::plus)
+                bin.reserve(spec, taken)
+                tasksPerZone.merge(offer.zone, taken, Int::plus)
                 left -= taken
             }
             return left
@@ -176,17 +176,17 @@
         private fun openBin(
             demand: CapacityDemand,
             left: Int,
-            perZone: Map<String, Int>,
+            tasksPerZone: Map<String, Int>,
         ): MachineBin? {
             if (newMachines.values.sum() >= maxNewMachines) return null
             val byPreference =
                 compareBy<Offer>(
                     { costPerTask(it, demand.spec, left) },
-                    { perZone[it.zone] ?: 0 },
+                    { tasksPerZone[it.zone] ?: 0 },
                     { newMachines[it] ?: 0 },
                     { it.zone },
                 )
-            val offer = offers.filter { isSuitable(it, demand, perZone) }.minWithOrNull(byPreference) ?: return null
+            val offer = offers.filter { isSuitable(it, demand, tasksPerZone) }.minWithOrNull(byPreference) ?: return null
             newMachines.merge(offer, 1, Int::plus)
             return MachineBin(offer, capacityOf(offer), Resources.ZERO, null)
         }
@@ -195,11 +195,11 @@
     private fun isSuitable(
         offer: Offer,
         demand: CapacityDemand,
-        perZone: Map<String, Int>,
+        tasksPerZone: Map<String, Int>,
     ): Boolean {
         val spec = demand.spec
-        if ((perZone[offer.zone] ?: 0) >= spec.zoneCap) return false
-        if (!Placer.allowed(spec, offer.type, offer.zone, offer.spot) || !isAvailable(offer)) return false
+        if ((tasksPerZone[offer.zone] ?: 0) >= spec.zoneCap) return false
+        if (!Placer.isAllowed(spec, offer.type, offer.zone, offer.spot) || !isAvailable(offer)) return false
         if (!offer.spot && spec.spot && !demand.mayRentOnDemand) return false
         return spec.demand.countIn(capacityOf(offer)) > 0
     }
--- a/src/main/kotlin/mintpick/core/ShareTree.kt
+++ b/src/main/kotlin/mintpick/core/ShareTree.kt
@@ -83,7 +83,7 @@
     }
 
     /** Use against weight of every branch on the way to [team], from the top; empty for an unknown team. */
-    fun ratios(
+    fun usageRatios(
         team: String,
         use: (String) -> Double,
     ): List<BranchUse> =
@@ -106,7 +106,7 @@
         use: (String) -> Double,
     ): Int {
         if (a == b) return 0
-        for ((left, right) in ratios(a, use).zip(ratios(b, use))) {
+        for ((left, right) in usageRatios(a, use).zip(usageRatios(b, use))) {
             if (left.branch != right.branch) return left.ratio.compareTo(right.ratio)
         }
         return 0
--- a/src/main/kotlin/mintpick/core/TeamQuota.kt
+++ b/src/main/kotlin/mintpick/core/TeamQuota.kt
@@ -12,21 +12,21 @@
     private val limits: Map<String, Resources>,
     private val usedBy: (String) -> Resources,
 ) {
-    private val takenInPass = HashMap<String, Resources>()
+    private val reservedInPass = HashMap<String, Resources>()
 
     /** How many more tasks of [spec] its team's limit allows; none for an unknown team. */
-    fun tasks(spec: JobSpec): Int {
+    fun remainingTasks(spec: JobSpec): Int {
         val limit = limits[spec.team] ?: return 0
-        val left = limit - usedBy(spec.team) - (takenInPass[spec.team] ?: Resources.ZERO)
+        val left = limit - usedBy(spec.team) - (reservedInPass[spec.team] ?: Resources.ZERO)
         return spec.demand.countIn(left)
     }
 
     /** Counts [count] tasks of [spec] as used for the rest of the pass. */
-    fun take(
+    fun reserve(
         spec: JobSpec,
         count: Int,
     ) {
-        takenInPass.merge(spec.team, spec.demand * count.toDouble(), Resources::plus)
+        reservedInPass.merge(spec.team, spec.demand * count.toDouble(), Resources::plus)
     }
 
     companion object {
--- a/src/main/kotlin/mintpick/core/UsageWindow.kt
+++ b/src/main/kotlin/mintpick/core/UsageWindow.kt
@@ -14,15 +14,15 @@
     private val slots = HashMap<Long, HashMap<String, Double>>()
 
     /** The number of the slot that the time of day [wall] is in. */
-    fun slotOf(wall: Micros): Long = wall / slotUs
+    fun slotOf(wallClockUs: Micros): Long = wallClockUs / slotUs
 
     /** Adds what [team] has used to the slot of [wall]. */
     fun add(
         team: String,
         shareSeconds: Double,
-        wall: Micros,
+        wallClockUs: Micros,
     ) {
-        slots.getOrPut(slotOf(wall)) { HashMap() }.merge(team, shareSeconds, Double::plus)
+        slots.getOrPut(slotOf(wallClockUs)) { HashMap() }.merge(team, shareSeconds, Double::plus)
     }
 
     /** Sets what all teams used in [slot], in place of what is known of it. */
@@ -34,8 +34,8 @@
     }
 
     /** Forgets the slots that are over before the window that ends at [wall]. */
-    fun expire(wall: Micros) {
-        val oldest = slotOf(wall - windowUs)
+    fun expire(wallClockUs: Micros) {
+        val oldest = slotOf(wallClockUs - windowUs)
         slots.keys.removeIf { it < oldest }
     }
 
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -14,13 +14,13 @@
 import mintpick.engine.capacity.CloudClient
 import mintpick.engine.capacity.CloudInventory
 import mintpick.engine.capacity.DemandForecast
-import mintpick.engine.capacity.IdleMachines
+import mintpick.engine.capacity.IdleMachineDrainer
 import mintpick.engine.capacity.LeaderStatus
 import mintpick.engine.capacity.MachineMonitor
 import mintpick.engine.capacity.MachineTypeCatalog
-import mintpick.engine.capacity.NoticedMachines
 import mintpick.engine.capacity.ScaleIn
 import mintpick.engine.capacity.ScaleOut
+import mintpick.engine.capacity.TerminationNoticeHandler
 import mintpick.engine.capacity.UnresponsiveMachines
 import mintpick.engine.jobs.JobAnswers
 import mintpick.engine.jobs.JobUpdateWriter
@@ -92,9 +92,9 @@
     private val scaleIn = ScaleIn(context, leaderStatus, reconciler, cloudClient, cloudInventory, machineRegistry)
     private val capacityView = CapacityView(context, shardClaims, agents, reconciler, commandPlanner, cloudInventory, scaleOut)
     private val demandForecast = DemandForecast(context, scheduler, operators)
-    private val idleMachines = IdleMachines(context, machineRegistry, operators)
+    private val idleMachineDrainer = IdleMachineDrainer(context, machineRegistry, operators)
     private val capacityPlanner =
-        CapacityPlanner(context, leaderStatus, demandForecast, capacityView, idleMachines, scaleOut, scaleIn)
+        CapacityPlanner(context, leaderStatus, demandForecast, capacityView, idleMachineDrainer, scaleOut, scaleIn)
     private val transactionLimits = TransactionLimits(settings.limits.transactionOps)
     private val jobAnswers = JobAnswers(context, stateStore)
     private val pendingRequests = PendingRequests(context, stateStore, jobAnswers)
@@ -106,7 +106,7 @@
             context,
             health,
             UnresponsiveMachines(context, stateStore, shardClaims, agents, health, machineRegistry),
-            NoticedMachines(context, shardClaims, agents, machineRegistry, commandPlanner),
+            TerminationNoticeHandler(context, shardClaims, agents, machineRegistry, commandPlanner),
             BorrowedMachines(context, stateStore, shardClaims, scheduler),
         )
     private val sweeper = RecordSweeper(context, stateStore, shardClaims, pendingRequests)
--- a/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
+++ b/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
@@ -16,8 +16,8 @@
 import mintpick.net.Outcome
 import mintpick.net.Target
 import mintpick.wire.MachineHint
-import mintpick.wire.MeshProtobuf
 import mintpick.wire.PeerHint
+import mintpick.wire.PeerProtobuf
 import mintpick.wire.decodeHint
 
 /** The machines that this controller commands, as listed in its peer hints. */
@@ -32,13 +32,13 @@
     fun collect(imageIndexes: MutableMap<String, Int>): List<MachineHint> =
         usableMachines().map { view ->
             val images = view.imageNames.map { imageIndexes.getOrPut(it) { imageIndexes.size } }
-            MachineHint(view.id.text, context.now - view.reportedUs, images)
+            MachineHint(view.id.text, context.now - view.lastHeartbeatUs, images)
         }
 
     private fun usableMachines(): List<MachineView> =
         agents.views().filter { view ->
-            view.latest != null &&
-                context.now - view.reportedUs < context.settings.reportUs * 2 &&
+            view.latestStatus != null &&
+                context.now - view.lastHeartbeatUs < context.settings.heartbeatIntervalUs * 2 &&
                 !reconciler.failures.isFaulty(view.id) &&
                 !agents.isUnreachable(view.id) &&
                 !commandPlanner.isDraining(view, shardClaims.controlClaim(view.id))
@@ -93,7 +93,7 @@
         }
     }
 
-    private fun encode(hint: PeerHint): ByteArray = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
+    private fun encode(hint: PeerHint): ByteArray = PeerProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
 
     /** Builds a hint. Callers list machines in every second hint only, because a list of a thousand machines is most of its size. */
     private fun hint(
--- a/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
@@ -88,7 +88,7 @@
     ) {
         updatedMachines += view.id
         val cacheGb = cache.machineTypes[report.type]?.cacheGb ?: 0.0
-        for ((attempt, task) in view.reported) recordTask(view, attempt, task, cacheGb)
+        for ((attempt, task) in view.reportedAttempts) recordTask(view, attempt, task, cacheGb)
     }
 
     private fun recordTask(
@@ -107,15 +107,15 @@
     }
 
     /** Whether the last status is recent enough for new work to be placed on the machine. */
-    fun isFresh(view: MachineView): Boolean = context.now - view.heardUs < maxHeartbeatIntervalUs + FRESH_MARGIN
+    fun isFresh(view: MachineView): Boolean = context.now - view.lastStatusUs < maxHeartbeatIntervalUs + FRESH_MARGIN
 
     /** Whether a heartbeat is overdue and no answer to a call was received in its place. */
-    fun isUnresponsive(view: MachineView): Boolean = context.now - view.heardUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
+    fun isUnresponsive(view: MachineView): Boolean = context.now - view.lastStatusUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
 
     /** Whether the next heartbeat is overdue, regardless of answers to calls. */
-    fun isHeartbeatOverdue(view: MachineView): Boolean = context.now - view.reportedUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
+    fun isHeartbeatOverdue(view: MachineView): Boolean = context.now - view.lastHeartbeatUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
 
-    private val maxHeartbeatIntervalUs: Micros get() = context.settings.reportUs * 5 / 4
+    private val maxHeartbeatIntervalUs: Micros get() = context.settings.heartbeatIntervalUs * 5 / 4
 
     /**
      * Whether the agent has returned the fencing token of this controller's claim, which proves that its status is newer than
@@ -123,7 +123,7 @@
      */
     fun isConfirmed(view: MachineView): Boolean {
         val claim = shardClaims.controlClaim(view.id) ?: return false
-        return shardClaims.isOwn(claim) && view.latest != null && view.token >= claim.version
+        return shardClaims.isOwn(claim) && view.latestStatus != null && view.token >= claim.version
     }
 
     /**
@@ -131,7 +131,7 @@
      * of the machine, which sent its heartbeats to another controller before, and no earlier than the last process pause ended.
      */
     fun noContactSince(machine: MachineId): Micros {
-        val heardUs = viewsByMachine[machine]?.heardUs ?: 0
+        val heardUs = viewsByMachine[machine]?.lastStatusUs ?: 0
         val controlledSinceUs = controlPeriods[machine]?.sinceUs ?: context.now
         return maxOf(heardUs, controlledSinceUs, pauseEndedUs)
     }
--- a/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
@@ -1,5 +1,6 @@
 package mintpick.engine.agents
 
+import mintpick.agents.AgentProtocol
 import mintpick.core.AttemptId
 import mintpick.core.MILLI
 import mintpick.core.MachineId
@@ -15,7 +16,6 @@
 import mintpick.wire.CommandBatch
 import mintpick.wire.MachineReport
 import mintpick.wire.Verb
-import mintpick.workers.WorkerProtocol
 
 /**
  * Calls agents directly: sends commands without waiting for the next heartbeat, requests the status of machines whose
@@ -59,10 +59,10 @@
         if (!shardClaims.isOwn(claim) || !health.isHealthy() || index.isTerminated(machine)) return
         val view = index.viewOrCreate(machine)
         val address = addressOf(view) ?: return
-        val commands = if (view.latest == null) emptyList() else commandPlanner.commandsFor(view, claim)
+        val commands = if (view.latestStatus == null) emptyList() else commandPlanner.commandsFor(view, claim)
         if (mayWaitForHeartbeat(view, claim, commands)) return
         if (!mayCall(machine)) return
-        send(view, address, CommandBatch(claim.version, view.session, commands))
+        send(view, address, CommandBatch(claim.version, view.agentEpoch, commands))
     }
 
     /** Whether [commands] only forget attempts and the agent has already returned the current fencing token. */
@@ -70,12 +70,12 @@
         view: MachineView,
         claim: Claim,
         commands: List<Command>,
-    ): Boolean = commands.all { it.verb == Verb.FORGET } && !lacksCurrentToken(view, claim)
+    ): Boolean = commands.all { it.verb == Verb.REMOVE } && !lacksCurrentToken(view, claim)
 
     private fun lacksCurrentToken(
         view: MachineView?,
         claim: Claim,
-    ): Boolean = view?.latest == null || view.token < claim.version
+    ): Boolean = view?.latestStatus == null || view.token < claim.version
 
     private fun send(
         view: MachineView,
@@ -83,8 +83,8 @@
         batch: CommandBatch,
     ) {
         val starts = CommandPlanner.startedAttempts(batch.commands)
-        starts.forEach { view.startSent(it, batch.token, batch.session) }
-        val call = WorkerProtocol.commands(address, batch, reachability.isSuspect(view.id))
+        starts.forEach { view.recordStartSent(it, batch.token, batch.agentEpoch) }
+        val call = AgentProtocol.commands(address, batch, reachability.isSuspect(view.id))
         startCall(view.id, call) { result -> onBatchResult(view, batch, starts, result) }
     }
 
@@ -93,32 +93,32 @@
         view: MachineView,
         batch: CommandBatch,
         starts: Set<AttemptId>,
-        result: WorkerProtocol.Result,
+        result: AgentProtocol.Result,
     ): Boolean {
-        if (result == WorkerProtocol.Result.Unanswered) {
-            starts.forEach(view::startLost)
+        if (result == AgentProtocol.Result.Unknown) {
+            starts.forEach(view::recordStartTimeout)
         } else {
-            starts.forEach(view::startSettled)
+            starts.forEach(view::recordStartResolved)
         }
         val report = statusIn(result)
         if (report != null) applyStatus(view, report)
-        val isFromOtherSession = result is WorkerProtocol.Result.Dropped && report != null && report.session != batch.session
+        val isFromOtherSession = result is AgentProtocol.Result.Refused && report != null && report.agentEpoch != batch.agentEpoch
         if (takePendingPush(view.id) || isFromOtherSession) pushCommands(view.id)
         return report != null
     }
 
-    private fun statusIn(result: WorkerProtocol.Result): MachineReport? =
+    private fun statusIn(result: AgentProtocol.Result): MachineReport? =
         when (result) {
-            is WorkerProtocol.Result.Executed -> result.report
-            is WorkerProtocol.Result.Dropped -> result.report
-            WorkerProtocol.Result.NotSent, WorkerProtocol.Result.Unanswered -> null
+            is AgentProtocol.Result.Executed -> result.report
+            is AgentProtocol.Result.Refused -> result.report
+            AgentProtocol.Result.NotSent, AgentProtocol.Result.Unknown -> null
         }
 
     private fun applyStatus(
         view: MachineView,
         report: MachineReport,
     ) {
-        val isNew = view.take(report, context.now, direct = true)
+        val isNew = view.applyStatus(report, context.now, isResponse = true)
         if (isNew) index.onNewStatus(view, report)
     }
 
@@ -143,8 +143,8 @@
     ) {
         val address = addressOf(view)
         if (address == null || isInFlight(view.id)) return then(false)
-        startCall(view.id, WorkerProtocol.inspect(address, reachability.isSuspect(view.id))) { result ->
-            val report = (result as? WorkerProtocol.Result.Executed)?.report
+        startCall(view.id, AgentProtocol.inspect(address, reachability.isSuspect(view.id))) { result ->
+            val report = (result as? AgentProtocol.Result.Executed)?.report
             if (report != null) applyStatus(view, report)
             then(report != null)
             // Outstanding commands normally go with the answer to the next heartbeat. Without heartbeats they are pushed now.
@@ -154,7 +154,7 @@
         }
     }
 
-    private fun addressOf(view: MachineView): String? = view.latest?.address ?: cache.machines[view.id]?.record?.address
+    private fun addressOf(view: MachineView): String? = view.latestStatus?.address ?: cache.machines[view.id]?.record?.address
 
     private fun isInFlight(machine: MachineId): Boolean = callsByMachine[machine]?.isInFlight == true
 
@@ -174,7 +174,7 @@
     private fun startCall(
         machine: MachineId,
         call: Call,
-        onResult: (WorkerProtocol.Result) -> Boolean,
+        onResult: (AgentProtocol.Result) -> Boolean,
     ) {
         val calls = callsByMachine.getOrPut(machine) { DirectCalls() }
         calls.isInFlight = true
@@ -183,7 +183,7 @@
         context.call(call) { outcome ->
             calls.isInFlight = false
             if (isSuspect) suspectCallsInFlight--
-            val isAnswered = onResult(WorkerProtocol.read(outcome))
+            val isAnswered = onResult(AgentProtocol.read(outcome))
             if (isAnswered) reachability.onCallAnswered(machine) else reachability.onCallFailed(machine)
         }
     }
@@ -227,7 +227,7 @@
         }
     }
 
-    private fun hasLostStart(view: MachineView): Boolean = view.needsHigherToken && context.now - view.heardUs < RECENT_CONTACT
+    private fun hasLostStart(view: MachineView): Boolean = view.needsHigherToken && context.now - view.lastStatusUs < RECENT_CONTACT
 
     private fun isConfirmationDue(
         machine: MachineId,
--- a/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandPlanner.kt
@@ -85,7 +85,7 @@
 
     /** Stops of tasks of cancelled jobs, which any controller may send, whether or not it controls the machine. */
     fun stopsOfCancelledTasks(view: MachineView): List<Command> =
-        view.reported
+        view.reportedAttempts
             .filter { (attempt, task) -> task.state != TaskState.EXITED && isCancelled(attempt.task.job) }
             .map { (attempt, _) -> command(Verb.STOP, attempt, NO_GRACE_S) }
 
@@ -122,16 +122,16 @@
         view: MachineView,
         claim: Claim,
     ): List<Command> =
-        view.reported
+        view.reportedAttempts
             .filter { (attempt, task) ->
                 task.state == TaskState.EXITED && !isPlacedOn(view, attempt) && view.mayForget(attempt, claim.version)
-            }.map { (attempt, _) -> command(Verb.FORGET, attempt) }
+            }.map { (attempt, _) -> command(Verb.REMOVE, attempt) }
 
     private fun stopsFor(
         view: MachineView,
         claim: Claim,
     ): List<Command> =
-        view.reported
+        view.reportedAttempts
             .filter { (_, task) -> task.state != TaskState.EXITED }
             .mapNotNull { (attempt, task) -> stopFor(view, claim, attempt, task) }
 
@@ -147,7 +147,7 @@
         val mustStop = isStopping(attempt) || mustLeaveMachine(view, claim, job)
         if (!mustStop || task.state == TaskState.SAVING) return null
         val graceS = graceSeconds(view)
-        val canSave = graceS >= job.spec.saveS
+        val canSave = graceS >= job.spec.checkpointDurationS
         return command(Verb.STOP, attempt, if (canSave) graceS.toInt() else NO_GRACE_S)
     }
 
@@ -181,7 +181,7 @@
         cache
             .tasksOn(view.id)
             .map { (task, attempt) -> AttemptId(task, attempt) }
-            .filter { view.state(it) == null && mayStart(view, claim, it) }
+            .filter { view.taskReport(it) == null && mayStart(view, claim, it) }
             .map { command(Verb.START, it) }
 
     private fun mayStart(
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
@@ -75,8 +75,8 @@
             } else {
                 commandPlanner.stopsOfCancelledTasks(view)
             }
-        if (carriesAll) view.answeredWith(CommandPlanner.startedAttempts(commands))
-        if (scope != AnswerScope.UNREAD) view.answeredReport(context.now)
+        if (carriesAll) view.recordStartsInResponse(CommandPlanner.startedAttempts(commands))
+        if (scope != AnswerScope.UNREAD) view.recordHeartbeatResponse(context.now)
         return accepted(claim, commands)
     }
 
@@ -103,7 +103,7 @@
         view: MachineView,
         claim: Claim,
     ): Answer {
-        view.answeredReport(context.now)
+        view.recordHeartbeatResponse(context.now)
         return accepted(claim, commandPlanner.stopsOfCancelledTasks(view))
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
@@ -26,8 +26,8 @@
         if (index.isTerminated(machine)) return context.send(reply, answers.misdirected())
         shardClaims.register(machine, report.zone)
         val view = index.viewOrCreate(machine)
-        val isAwaited = view.awaits(report)
-        val isNewest = view.take(report, context.now, direct = false)
+        val isAwaited = view.recordHeartbeat(report)
+        val isNewest = view.applyStatus(report, context.now, isResponse = false)
         if (isNewest) index.onNewStatus(view, report)
         if (isAwaited) reachability.onHeartbeatFrom(report.zone)
         if (isAwaited && unservedMachines.recordHeartbeat(machine)) {
@@ -67,7 +67,7 @@
             if (isReached) {
                 val isWholeShard = unservedMachines.isWholeShardUnserved(shard, controller)
                 shardClaims.takeOver(machine, isWholeShard, controller, "unserved") {
-                    val isNewest = view.latest === report
+                    val isNewest = view.latestStatus === report
                     context.send(reply, answers.answer(view, report, scopeOf(isAwaited = true, isNewest)))
                 }
             } else {
--- a/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineRegistry.kt
@@ -117,7 +117,7 @@
     private fun shouldBeAdded(view: MachineView): Boolean {
         val known = cache.machines[view.id]
         val isListed = known != null && !known.legacy
-        return view.latest != null &&
+        return view.latestStatus != null &&
             !isListed &&
             !reconciler.isTerminated(view.id) &&
             agents.isConfirmed(view) &&
@@ -126,7 +126,7 @@
 
     private fun recordOf(view: MachineView): MachineRecord {
         cache.machines[view.id]?.let { return it.record }
-        val report = checkNotNull(view.latest) { "machine ${view.id.text} has not sent its status" }
+        val report = checkNotNull(view.latestStatus) { "machine ${view.id.text} has not sent its status" }
         return MachineRecord(report.type, report.zone, report.spot, report.address)
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
+++ b/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
@@ -41,7 +41,7 @@
      */
     fun isSuspect(machine: MachineId): Boolean {
         val view = index.view(machine)
-        if (view?.latest == null) return true
+        if (view?.latestStatus == null) return true
         return isUnreachable(machine) || index.isUnresponsive(view)
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/TaskFailureHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/TaskFailureHandler.kt
@@ -36,7 +36,7 @@
     fun onCompleted(
         machine: MachineId,
         job: JobId,
-    ) = failures.succeeded(machine, job)
+    ) = failures.recordSuccess(machine, job)
 
     /** Must be called when [attempt] of [job] has ended on [machine]; [cause] is null if the agent does not know the attempt. */
     fun onEnded(
@@ -64,9 +64,9 @@
         attempt: AttemptId,
     ) {
         if (!failures.hasFailed(attempt.task.job)) return
-        if (view.state(attempt)?.state != TaskState.RUNNING) return
+        if (view.taskReport(attempt)?.state != TaskState.RUNNING) return
         val sinceUs = runningSinceUs.getOrPut(attempt) { context.now }
-        if (context.now - sinceUs > STABLE_RUN_TIME) failures.succeeded(view.id, attempt.task.job)
+        if (context.now - sinceUs > STABLE_RUN_TIME) failures.recordSuccess(view.id, attempt.task.job)
     }
 
     /** Removes the state of jobs that are no longer open, machines that are no longer listed and replicas that are no longer placed. */
@@ -86,7 +86,7 @@
     ) {
         val isFirst = !failures.hasFailed(job.id)
         val wasFaulty = failures.isFaulty(job.id)
-        failures.failed(machine, job.id, hasSucceeded = job.done > 0, context.now)
+        failures.recordFailure(machine, job.id, hasSucceeded = job.doneCount > 0, context.now)
         if (isFirst) LOG.info("task failed task={} attempt={} machine={}", attempt.task, attempt.attempt, machine.text)
         LOG.debug("task failed task={} attempt={} machine={}", attempt.task, attempt.attempt, machine.text)
         if (!wasFaulty && failures.isFaulty(job.id)) {
--- a/src/main/kotlin/mintpick/engine/cache/JobCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -130,7 +130,7 @@
         val record = RecordCodec.decodeChunk(value)
         val job = jobsById[id] ?: return
         if (index >= job.chunkCount) return
-        val chunk = RecordCodec.chunk(record, job.sizeOf(index), version)
+        val chunk = RecordCodec.chunk(record, job.chunkSize(index), version)
         replace(id, job.withChunk(index, chunk))
     }
 
@@ -138,8 +138,8 @@
     private fun withReadiness(stored: Job): Job =
         when (dependencies.add(stored.id, stored.spec.predecessorIds, ::predecessorState)) {
             Readiness.RELEASED -> stored
-            Readiness.WAITING -> stored.with(isReleased = false)
-            Readiness.CANCELLED -> stored.with(stage = StoredStage.CANCELLED, isReleased = false)
+            Readiness.WAITING -> stored.with(arePredecessorsDone = false)
+            Readiness.CANCELLED -> stored.with(stage = StoredStage.CANCELLED, arePredecessorsDone = false)
         }
 
     private fun predecessorState(id: JobId): PredecessorState =
@@ -156,7 +156,7 @@
     ) {
         if (stage == StoredStage.DONE) {
             for (successor in dependencies.markDone(id)) {
-                jobsById[successor]?.let { replace(successor, it.with(isReleased = true)) }
+                jobsById[successor]?.let { replace(successor, it.with(arePredecessorsDone = true)) }
             }
         } else {
             for (successor in dependencies.markCancelled(id)) {
@@ -176,8 +176,8 @@
         } else {
             jobsById[id] = after
         }
-        updateMembership(finalizableIds, id, after != null && after.stage == StoredStage.CANCELLED && after.placed == 0)
-        updateMembership(waitingIds, id, after != null && after.waiting > 0)
+        updateMembership(finalizableIds, id, after != null && after.stage == StoredStage.CANCELLED && after.placedCount == 0)
+        updateMembership(waitingIds, id, after != null && after.waitingCount > 0)
     }
 
     private fun updateMembership(
--- a/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -187,7 +187,7 @@
             is Keys.Subject.Format -> controllerCache.applyFormat(NodeId(subject.node), value)
             is Keys.Subject.Usage -> controllerCache.applyUsage(NodeId(subject.node), subject.piece, value)
             // Only the versions of these records are used, in guards.
-            Keys.Subject.Epoch, is Keys.Subject.Team -> Unit
+            Keys.Subject.ShardEpoch, is Keys.Subject.Team -> Unit
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/capacity/BootingMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BootingMachines.kt
@@ -49,19 +49,19 @@
     }
 
     /** [machine] is up: its boot time becomes a sample, unless it has been one as overdue. */
-    fun endBoot(machine: MachineId) {
+    fun markBooted(machine: MachineId) {
         val booted = machines.remove(machine) ?: return
-        val heardUs = agents.view(machine)?.firstHeardUs ?: return
+        val firstHeartbeatUs = agents.view(machine)?.firstContactUs ?: return
         val nominalUs = nominalBootUs(booted)
         if (booted.isRecordedOverdue || nominalUs <= 0) return
-        bootTimes.recordBoot(booted.kind, (heardUs - booted.requestedUs).toDouble() / nominalUs)
+        bootTimes.recordBoot(booted.kind, (firstHeartbeatUs - booted.requestedUs).toDouble() / nominalUs)
     }
 
     /** Makes samples of the machines that have become overdue. */
     fun recordOverdue() = machines.values.forEach(::recordIfOverdue)
 
     private fun recordIfOverdue(machine: BootingMachine) {
-        if (machine.isRecordedOverdue || !hasBootedFor(machine, BootTimes.OVERDUE_MULTIPLE)) return
+        if (machine.isRecordedOverdue || !isBootingLongerThan(machine, BootTimes.OVERDUE_MULTIPLE)) return
         machine.isRecordedOverdue = true
         val wasSlow = bootTimes.isSlow(machine.kind)
         bootTimes.recordOverdue(machine.kind)
@@ -71,7 +71,7 @@
     }
 
     /** Whether no work should wait for [machine] any more, so that another is rented for it. */
-    fun isLate(machine: BootingMachine): Boolean = hasBootedFor(machine, bootTimes.replaceAfterMultiple(machine.kind))
+    fun isLate(machine: BootingMachine): Boolean = isBootingLongerThan(machine, bootTimes.replaceAfterMultiple(machine.kind))
 
     /** Whether [machine] should be released: some machines never come up, and are charged until they are released. */
     fun isLost(machine: BootingMachine): Boolean {
@@ -84,7 +84,7 @@
     /** Whether machines of [offer] boot late or never: another kind does better. */
     fun isSlow(offer: Offer): Boolean = bootTimes.isSlow(BootKind(offer.type, offer.zone))
 
-    private fun hasBootedFor(
+    private fun isBootingLongerThan(
         machine: BootingMachine,
         multiple: Double,
     ): Boolean {
--- a/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
@@ -25,8 +25,8 @@
         for ((machine, claim) in cache.borrows.toMap()) {
             if (!shardClaims.isOwn(claim)) continue
             val sinceUs = borrowedSinceUs.getOrPut(machine) { context.now }
-            val isWanted = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
-            val isDue = !isWanted && context.now - sinceUs > MIN_BORROW_TIME
+            val isNeeded = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
+            val isDue = !isNeeded && context.now - sinceUs > MIN_BORROW_TIME
             if (isDue && stateStore.writesAllowed() > RESERVED_WRITES) shardClaims.returnBorrowed(machine)
         }
     }
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityPlanner.kt
@@ -15,7 +15,7 @@
     private val leaderStatus: LeaderStatus,
     private val demandForecast: DemandForecast,
     private val capacityView: CapacityView,
-    private val idleMachines: IdleMachines,
+    private val idleMachineDrainer: IdleMachineDrainer,
     private val scaleOut: ScaleOut,
     private val scaleIn: ScaleIn,
 ) {
@@ -30,9 +30,9 @@
         scaleOut.retryPending()
         scaleIn.tick()
         if (context.now < nextPlanUs) return
-        nextPlanUs = context.now + PLAN_INTERVAL + PLAN_INTERVAL * cache.machines.size / MACHINES_PER_INTERVAL
+        nextPlanUs = context.now + PLAN_INTERVAL + PLAN_INTERVAL * cache.machines.size / MACHINES_PER_EXTRA_INTERVAL
         demandForecast.observe()
-        idleMachines.update()
+        idleMachineDrainer.update()
         scaleIn.drainFaulty()
         if (!mayPlan()) return
         logCapacity()
@@ -44,8 +44,8 @@
 
     private fun plan(): ScaleOutPlan {
         val planner = ScaleOutPlanner(cache.machineTypes, context.settings.zones, scaleOut::bootsSlowly, scaleOut::isAvailable)
-        val candidates: List<CandidateMachine> = capacityView.rooms()
-        val demands = demandForecast.waiting(candidates) + demandForecast.expected()
+        val candidates: List<CandidateMachine> = capacityView.candidates()
+        val demands = demandForecast.waitingDemands(candidates) + demandForecast.expectedDemands()
         return planner.plan(candidates, demands.sortedBy { !it.spec.isService }, MAX_NEW_MACHINES)
     }
 
@@ -54,7 +54,7 @@
         plan.newMachines.entries
             .sortedByDescending { it.value }
             .forEach { (offer, count) -> scaleOut.request(offer, count, "demand") }
-        if (plan.newMachines.isEmpty()) idleMachines.drainUnused(plan.unusedMachines)
+        if (plan.newMachines.isEmpty()) idleMachineDrainer.drainUnused(plan.unusedMachines)
     }
 
     /** All machines in two lines, for people on call. */
@@ -72,7 +72,7 @@
                 summary.usedCpus,
                 summary.endedCpus,
                 summary.booting,
-                cache.jobs.sumOf { it.waiting },
+                cache.jobs.sumOf { it.waitingCount },
             )
         }
     }
@@ -83,7 +83,7 @@
         const val PLAN_INTERVAL: Micros = SECOND / 2
 
         /** Machines for which plans are made half as often as for none. */
-        const val MACHINES_PER_INTERVAL = 1000
+        const val MACHINES_PER_EXTRA_INTERVAL = 1000
         const val PLAN_DELAY_AFTER_LOAD: Micros = SECOND
 
         /** The most machines that one plan rents. */
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
@@ -43,12 +43,12 @@
     private val cache get() = context.cache
 
     /** All machines with what they have free; of those that are up the fullest first, so that what is empty stays empty. */
-    fun rooms(): List<CandidateMachine> {
-        val candidates = listedCandidates() + bootingCandidates() + pendingCandidates()
-        return candidates.sortedWith(compareBy({ !it.isUp }, { it.free.dominantShare(it.total) }, { !it.spot }))
+    fun candidates(): List<CandidateMachine> {
+        val candidates = recordedCandidates() + bootingCandidates() + pendingCandidates()
+        return candidates.sortedWith(compareBy({ !it.hasBooted }, { it.free.dominantShare(it.total) }, { !it.spot }))
     }
 
-    private fun listedCandidates(): List<CandidateMachine> =
+    private fun recordedCandidates(): List<CandidateMachine> =
         cache.machines.values.mapNotNull { machine ->
             val type = cache.machineTypes[machine.record.type]
             if (type == null || !isUsable(machine)) null else candidateOn(machine, type)
@@ -56,10 +56,10 @@
 
     /** Whether [machine] takes tasks, now or once its controller finds the time. */
     private fun isUsable(machine: KnownMachine): Boolean =
-        machine.record.retiring == Retiring.NO && !reconciler.isTerminated(machine.id) && !isLeaving(machine.id)
+        machine.record.retiring == Retiring.NO && !reconciler.isTerminated(machine.id) && !isDrainingOrStale(machine.id)
 
     /** Whether [machine] is this controller's, and is silent or being drained. */
-    private fun isLeaving(machine: MachineId): Boolean {
+    private fun isDrainingOrStale(machine: MachineId): Boolean {
         val view = agents.view(machine) ?: return false
         if (!shardClaims.controls(machine)) return false
         return !agents.isFresh(view) || commandPlanner.isDraining(view, shardClaims.controlClaim(machine))
@@ -93,7 +93,7 @@
             .mapNotNull { emptyCandidate(it.id, it.offer) }
 
     private fun pendingCandidates(): List<CandidateMachine> =
-        scaleOut.pendingMachines().flatMap { (offer, count) ->
+        scaleOut.pendingCounts().flatMap { (offer, count) ->
             (0 until count).mapNotNull { emptyCandidate(MachineId("pending-$it"), offer) }
         }
 
@@ -103,7 +103,7 @@
         offer: Offer,
     ): CandidateMachine? {
         val size: Resources = cache.machineTypes[offer.type]?.capacity ?: return null
-        return CandidateMachine(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, isOwned = true, isUp = false)
+        return CandidateMachine(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, isOwned = true, hasBooted = false)
     }
 
     /** The spot machines, or the on-demand ones, that are not known to be terminated. */
--- a/src/main/kotlin/mintpick/engine/capacity/CloudClient.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudClient.kt
@@ -15,15 +15,15 @@
     val protocol = CloudProtocol(context.settings.cloud.toString())
 
     /** For rentals and releases. */
-    val changeBudget = budget(context.settings.cloudRps * CHANGE_PART)
+    val changeBudget = budget(context.settings.cloudRps * CHANGE_SHARE)
 
     /** For the lists of machines and of machine types; shared by all controllers. */
-    val readBudget = budget(context.settings.cloudRps * READ_PART / (context.settings.peers.size + 1))
+    val readBudget = budget(context.settings.cloudRps * READ_SHARE / (context.settings.peers.size + 1))
 
     private fun budget(perSecond: Double) = TokenBucket(perSecond, maxOf(1.0, perSecond * 2))
 
     private companion object {
-        const val CHANGE_PART = 0.45
-        const val READ_PART = 0.45
+        const val CHANGE_SHARE = 0.45
+        const val READ_SHARE = 0.45
     }
 }
--- a/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
@@ -40,7 +40,7 @@
     val booting = BootingMachines(context, agents)
     private val firstKnownUs = HashMap<MachineId, Micros>()
     private val failed = HashSet<MachineId>()
-    private var listing: Listing? = null
+    private var currentListing: Listing? = null
     private var nextListUs: Micros = 0
     private var nextUpdateUs: Micros = 0
 
@@ -55,8 +55,8 @@
         if (context.now >= nextUpdateUs) updateKnownMachines()
         machineTypes.tick()
         // Just after a start there is more urgent work than reading a thousand machines.
-        val hasSettled = context.now - stateStore.servingSinceUs > LIST_DELAY_AFTER_LOAD
-        if (context.now >= nextListUs && hasSettled) requestList()
+        val isStartupOver = context.now - stateStore.servingSinceUs > LIST_DELAY_AFTER_LOAD
+        if (context.now >= nextListUs && isStartupOver) requestList()
     }
 
     private fun updateKnownMachines() {
@@ -65,9 +65,9 @@
         cache.machinesWithTasks().forEach(::recordKnown)
         agents.views().forEach { view ->
             recordKnown(view.id)
-            if (agents.isConfirmed(view)) booting.endBoot(view.id)
+            if (agents.isConfirmed(view)) booting.markBooted(view.id)
         }
-        cache.machines.keys.forEach(booting::endBoot)
+        cache.machines.keys.forEach(booting::markBooted)
         booting.recordOverdue()
     }
 
@@ -76,36 +76,36 @@
     }
 
     private fun requestList() {
-        val begun = listing
+        val current = currentListing
         // A short list is read at once; a long one at the pace of this controller's part of the limit, which rentals must not lack.
-        val leastBudget = if (begun == null) 1.0 else -PAGES_AHEAD
-        if (cloud.readBudget.available(context.now) < leastBudget) return
-        val open = begun ?: Listing(context.now).also { listing = it }
-        if (open.isRequested || context.now < open.nextRequestUs) return
+        val minBudget = if (current == null) 1.0 else -MAX_PAGES_AHEAD
+        if (cloud.readBudget.available(context.now) < minBudget) return
+        val listing = current ?: Listing(context.now).also { currentListing = it }
+        if (listing.isRequested || context.now < listing.nextRequestUs) return
         cloud.readBudget.charge(context.now, 1.0)
-        open.isRequested = true
-        context.call(cloud.protocol.list(open.machines.lastOrNull()?.id)) { onPage(open, it) }
+        listing.isRequested = true
+        context.call(cloud.protocol.list(listing.machines.lastOrNull()?.id)) { onPage(listing, it) }
     }
 
     private fun onPage(
-        open: Listing,
+        listing: Listing,
         outcome: Outcome,
     ) {
-        open.isRequested = false
+        listing.isRequested = false
         val result = cloud.protocol.readList(outcome)
         if (result !is CloudProtocol.Result.Ok) {
-            open.nextRequestUs = context.now + RETRY_INTERVAL
+            listing.nextRequestUs = context.now + RETRY_INTERVAL
             return
         }
-        open.machines += result.value.machines
-        if (!result.value.more || result.value.machines.isEmpty()) complete(open)
+        listing.machines += result.value.machines
+        if (!result.value.hasMore || result.value.machines.isEmpty()) complete(listing)
     }
 
-    private fun complete(list: Listing) {
-        listing = null
+    private fun complete(listing: Listing) {
+        currentListing = null
         nextListUs = context.now + if (shardClaims.isLeader) LIST_INTERVAL else LIST_INTERVAL * 2
-        list.machines.forEach(::register)
-        terminateUnlisted(list)
+        listing.machines.forEach(::register)
+        terminateUnlisted(listing)
     }
 
     private fun register(machine: ListedMachine) {
@@ -114,19 +114,19 @@
         shardClaims.register(id, machine.zone)
         recordKnown(id)
         if (machine.stage == RentalStage.FAILED) failed += id
-        if (id in cache.machines || agents.view(id)?.latest != null) return
+        if (id in cache.machines || agents.view(id)?.latestStatus != null) return
         val requestedUs = context.now - (machine.ageS * SECOND).toLong()
         booting.addListed(BootingMachine(id, Offer(machine.type, machine.zone, machine.spot), requestedUs))
     }
 
     /** New machines are missing from a list for up to twice its lag; one known for longer that is not in it is terminated. */
-    private fun terminateUnlisted(list: Listing) {
-        val listed = list.machines.mapTo(HashSet()) { MachineId(it.id) }
-        val lagUs = context.settings.listLagUs * LIST_LAGS
+    private fun terminateUnlisted(listing: Listing) {
+        val listed = listing.machines.mapTo(HashSet()) { MachineId(it.id) }
+        val lagUs = context.settings.listLagUs * LIST_LAG_MULTIPLE
         for ((id, sinceUs) in firstKnownUs.entries.toList()) {
-            if (id in listed || list.startedUs - sinceUs < lagUs + LIST_LAG_MARGIN) continue
-            val heardUs = agents.view(id)?.heardUs
-            if (heardUs != null && list.startedUs - heardUs < lagUs) continue
+            if (id in listed || listing.startedUs - sinceUs < lagUs + LIST_LAG_MARGIN) continue
+            val lastContactUs = agents.view(id)?.lastStatusUs
+            if (lastContactUs != null && listing.startedUs - lastContactUs < lagUs) continue
             reconciler.markTerminated(id, "not-listed")
             booting.remove(id)
             if (id !in cache.machines && cache.tasksOn(id).isEmpty()) firstKnownUs.remove(id)
@@ -140,7 +140,7 @@
         requestedUs: Micros,
     ) {
         recordKnown(id)
-        if (agents.view(id)?.latest == null) booting.addRented(BootingMachine(id, offer, requestedUs))
+        if (agents.view(id)?.latestStatus == null) booting.addRented(BootingMachine(id, offer, requestedUs))
     }
 
     /** The cloud has confirmed the release of [id], which proves it terminated. */
@@ -152,10 +152,10 @@
 
     private companion object {
         /** Pages of the cloud's list that may be read ahead of the limit's pace. */
-        const val PAGES_AHEAD = 4.0
+        const val MAX_PAGES_AHEAD = 4.0
 
         /** Multiple of the list's lag after which a machine that exists is in it for certain. */
-        const val LIST_LAGS = 3
+        const val LIST_LAG_MULTIPLE = 3
         const val LIST_LAG_MARGIN: Micros = 2 * SECOND
         const val LIST_INTERVAL: Micros = 3 * SECOND
         const val RETRY_INTERVAL: Micros = SECOND
--- a/src/main/kotlin/mintpick/engine/capacity/DemandMerging.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandAggregation.kt
@@ -7,13 +7,13 @@
 import mintpick.wire.JobSpec
 
 /** What demands must have in common to be packed as one. */
-private sealed interface MergeKey {
+private sealed interface AggregationKey {
     /** Rules that hold for the tasks of one job together keep it from being merged with others. */
-    data class SingleJob(
+    data class PerJob(
         val jobId: String,
-    ) : MergeKey
+    ) : AggregationKey
 
-    data class Shape(
+    data class Requirements(
         val jobClass: String,
         val resources: Resources,
         val types: List<String>?,
@@ -22,13 +22,13 @@
         val spread: Boolean,
         val mayRentOnDemand: Boolean,
         val keepsToSpot: Boolean,
-    ) : MergeKey
+    ) : AggregationKey
 }
 
-private fun keyOf(demand: CapacityDemand): MergeKey {
+private fun keyOf(demand: CapacityDemand): AggregationKey {
     val spec = demand.spec
-    if (spec.oneZone || spec.isGang || demand.perZone.isNotEmpty()) return MergeKey.SingleJob(spec.id)
-    return MergeKey.Shape(
+    if (spec.oneZone || spec.isGang || demand.tasksPerZone.isNotEmpty()) return AggregationKey.PerJob(spec.id)
+    return AggregationKey.Requirements(
         spec.jobClass,
         spec.demand,
         spec.types,
@@ -36,17 +36,17 @@
         spec.spot,
         spec.spread,
         demand.mayRentOnDemand,
-        demand.keepsToSpot,
+        demand.spotOnly,
     )
 }
 
 /** Jobs that need the same count as one, at the place of the first: hundreds of services that wait at once are few kinds. */
-internal fun mergeDemands(demands: List<CapacityDemand>): List<CapacityDemand> = demands.groupBy(::keyOf).values.map(::mergeSame)
+internal fun aggregateDemands(demands: List<CapacityDemand>): List<CapacityDemand> = demands.groupBy(::keyOf).values.map(::aggregate)
 
-private fun mergeSame(same: List<CapacityDemand>): CapacityDemand {
-    val first = same.first()
-    if (same.size == 1) return first
-    val count = same.sumOf { it.count }
+private fun aggregate(demands: List<CapacityDemand>): CapacityDemand {
+    val first = demands.first()
+    if (demands.size == 1) return first
+    val count = demands.sumOf { it.count }
     val spec: JobSpec = first.spec.copy(tasks = count)
     return first.copy(spec = spec, count = count)
 }
--- a/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
@@ -37,10 +37,10 @@
             if (job.stage != StoredStage.OPEN) continue
             val jobClass = job.spec.jobClass
             classes.getOrPut(jobClass) { ClassDemand(job.spec) }.observeJob(job.spec)
-            tasksByClass.merge(jobClass, takeRunnable(job, quota) + job.placed, Int::plus)
+            tasksByClass.merge(jobClass, takeRunnableTasks(job, quota) + job.placedCount, Int::plus)
         }
-        for ((name, seen) in classes) {
-            seen.addSample(DemandSample(context.now, tasksByClass[name] ?: 0), operators.batchMemoryUs)
+        for ((name, classDemand) in classes) {
+            classDemand.addSample(DemandSample(context.now, tasksByClass[name] ?: 0), operators.batchMemoryUs)
         }
     }
 
@@ -48,12 +48,12 @@
      * Tasks of [job] that more machines would help: neither held back by its team's limit nor failing wherever they run.
      * They are taken from [quota].
      */
-    private fun takeRunnable(
+    private fun takeRunnableTasks(
         job: Job,
         quota: TeamQuota,
     ): Int {
-        val count = minOf(scheduler.startableTasks(job), quota.tasks(job.spec))
-        quota.take(job.spec, count)
+        val count = minOf(scheduler.startableTasks(job), quota.remainingTasks(job.spec))
+        quota.reserve(job.spec, count)
         return count
     }
 
@@ -61,7 +61,7 @@
      * What waits, in the scheduler's order. Work that may use spot machines is worth on-demand ones when the spot machines
      * among [rooms] would need too long for what waits: longer than a part of what its class is expected to take altogether.
      */
-    fun waiting(candidates: List<CandidateMachine>): List<CapacityDemand> {
+    fun waitingDemands(candidates: List<CandidateMachine>): List<CapacityDemand> {
         val spotCpus = candidates.filter { it.spot }.sumOf { it.total.cpus }
         val quota = scheduler.teamQuota()
         var queuedCpuSeconds = 0.0
@@ -70,34 +70,34 @@
             val spec = job.spec
             // What its team's limit holds back now takes its time on the machines all the same.
             queuedCpuSeconds += scheduler.startableTasks(job) * spec.cpus * spec.estimateS
-            val count = takeRunnable(job, quota)
+            val count = takeRunnableTasks(job, quota)
             if (count == 0) continue
             val keepsToSpot = scheduler.isSpotOnly(job)
-            val queuesTooLong = queuedCpuSeconds > maxQueueS(spec) * spotCpus
+            val queuesTooLong = queuedCpuSeconds > maxQueueTimeS(spec) * spotCpus
             demands += CapacityDemand(spec, count, scheduler.tasksPerZone(job), !keepsToSpot && queuesTooLong, keepsToSpot)
         }
-        return mergeDemands(demands).take(MAX_DEMANDS)
+        return aggregateDemands(demands).take(MAX_DEMANDS)
     }
 
     /** Seconds that work of the class may queue for spot machines. */
-    private fun maxQueueS(spec: JobSpec): Double = (finishWithinS[spec.jobClass] ?: DEFAULT_FINISH_WITHIN_S) * operators.queuePart
+    private fun maxQueueTimeS(spec: JobSpec): Double = (finishWithinS[spec.jobClass] ?: DEFAULT_FINISH_WITHIN_S) * operators.queuePart
 
     /** What has not come yet: like the recent peak for batch work, some spare replicas in each zone for services. */
-    fun expected(): List<CapacityDemand> =
-        classes.values.mapNotNull { seen -> if (seen.spec.isService) expectedReplicas(seen) else expectedBatch(seen) }
+    fun expectedDemands(): List<CapacityDemand> =
+        classes.values.mapNotNull { if (it.spec.isService) expectedReplicas(it) else expectedBatch(it) }
 
-    private fun expectedReplicas(seen: ClassDemand): CapacityDemand {
-        val headroom = ceil(seen.currentTasks * operators.serviceHeadroom).toInt()
-        val count = maxOf(seen.largestJobTasks, headroom) * 2
-        val spec = seen.spec.copy(tasks = count, spread = context.settings.zones.size > 1, zone = null)
+    private fun expectedReplicas(classDemand: ClassDemand): CapacityDemand {
+        val headroom = ceil(classDemand.currentTasks * operators.serviceHeadroom).toInt()
+        val count = maxOf(classDemand.largestJobTasks, headroom) * 2
+        val spec = classDemand.spec.copy(tasks = count, spread = context.settings.zones.size > 1, zone = null)
         return CapacityDemand(spec, count)
     }
 
-    private fun expectedBatch(seen: ClassDemand): CapacityDemand? {
-        val count = ceil(seen.peakTasks * operators.batchHeadroom).toInt() - seen.currentTasks
+    private fun expectedBatch(classDemand: ClassDemand): CapacityDemand? {
+        val count = ceil(classDemand.peakTasks * operators.batchHeadroom).toInt() - classDemand.currentTasks
         if (count <= 0) return null
-        val spec = seen.spec.copy(spread = false, oneZone = false)
-        return CapacityDemand(spec, count, mayRentOnDemand = false, keepsToSpot = true)
+        val spec = classDemand.spec.copy(spread = false, oneZone = false)
+        return CapacityDemand(spec, count, mayRentOnDemand = false, spotOnly = true)
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/capacity/IdleMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/IdleMachineDrainer.kt
@@ -9,7 +9,7 @@
 import mintpick.wire.Retiring
 
 /** Machines without tasks: how long they have been idle, and which of them are drained for it. Event-loop thread only. */
-class IdleMachines(
+class IdleMachineDrainer(
     private val context: EngineContext,
     private val machineRegistry: MachineRegistry,
     private val operators: Operators,
@@ -34,30 +34,30 @@
                 .mapNotNull { cache.machines[it] }
                 .filterNot { machineRegistry.hasPendingScaleIn(it.id) }
                 .sortedBy { it.id.text }
-        val due = dueForDraining(idle)
-        val count = maxOf(MIN_DRAINED, due.size / DRAINED_PART)
+        val due = machinesDue(idle)
+        val count = maxOf(MIN_DRAIN_BATCH, due.size / DRAIN_BATCH_DIVISOR)
         due.take(count).forEach { machineRegistry.markForScaleIn(it.id, Retiring.DRAIN, "idle") }
     }
 
     /** On-demand machines cost several times as much: beyond a few that may soon be needed again they go early. */
-    private fun dueForDraining(idle: List<KnownMachine>): List<KnownMachine> {
+    private fun machinesDue(idle: List<KnownMachine>): List<KnownMachine> {
         val (spot, onDemand) = idle.partition { it.record.spot }
-        val early = onDemand.drop(KEPT_ON_DEMAND).filter { isIdleFor(it, operators.idleUs / EARLY_DIVISOR) }
-        val usual = (onDemand.take(KEPT_ON_DEMAND) + spot).filter { isIdleFor(it, operators.idleUs) }
+        val early = onDemand.drop(ON_DEMAND_RESERVE).filter { isIdleFor(it, operators.idleUs / ON_DEMAND_IDLE_DIVISOR) }
+        val usual = (onDemand.take(ON_DEMAND_RESERVE) + spot).filter { isIdleFor(it, operators.idleUs) }
         return early + usual
     }
 
     private fun isIdleFor(
-        known: KnownMachine,
-        spanUs: Micros,
-    ): Boolean = context.now - (idleSinceUs[known.id] ?: context.now) >= spanUs
+        machine: KnownMachine,
+        durationUs: Micros,
+    ): Boolean = context.now - (idleSinceUs[machine.id] ?: context.now) >= durationUs
 
     private companion object {
-        const val MIN_DRAINED = 2
+        const val MIN_DRAIN_BATCH = 2
 
         /** One in so many of the machines that are due is drained at a time. */
-        const val DRAINED_PART = 4
-        const val EARLY_DIVISOR = 3
-        const val KEPT_ON_DEMAND = 4
+        const val DRAIN_BATCH_DIVISOR = 4
+        const val ON_DEMAND_IDLE_DIVISOR = 3
+        const val ON_DEMAND_RESERVE = 4
     }
 }
--- a/src/main/kotlin/mintpick/engine/capacity/MachineMonitor.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/MachineMonitor.kt
@@ -13,7 +13,7 @@
     private val context: EngineContext,
     private val health: ControllerHealth,
     private val unresponsiveMachines: UnresponsiveMachines,
-    private val noticedMachines: NoticedMachines,
+    private val terminationNoticeHandler: TerminationNoticeHandler,
     private val borrowedMachines: BorrowedMachines,
 ) {
     private var nextCheckUs: Micros = 0
@@ -23,7 +23,7 @@
         if (!health.isHealthy() || context.now < nextCheckUs) return
         nextCheckUs = context.now + CHECK_INTERVAL
         unresponsiveMachines.check()
-        noticedMachines.drain()
+        terminationNoticeHandler.drain()
         borrowedMachines.returnUnused()
     }
 
--- a/src/main/kotlin/mintpick/engine/capacity/ScaleIn.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/ScaleIn.kt
@@ -46,7 +46,7 @@
             candidates
                 .distinct()
                 .filter { it !in releasing }
-                .take(CloudProtocol.MAX_RELEASE)
+                .take(CloudProtocol.MAX_MACHINES_PER_RELEASE)
         if (machines.isEmpty() || !cloud.changeBudget.take(context.now, 1.0)) return
         nextReleaseUs = context.now + RELEASE_INTERVAL
         releasing += machines
@@ -87,7 +87,7 @@
             emptySinceUs.remove(id)
             return false
         }
-        return context.now - emptySinceUs.getOrPut(id) { context.now } >= MIN_EMPTY
+        return context.now - emptySinceUs.getOrPut(id) { context.now } >= MIN_EMPTY_TIME
     }
 
     private fun lostMachines(): List<MachineId> =
@@ -98,6 +98,6 @@
     private companion object {
         const val CHECK_INTERVAL: Micros = 100 * MILLI
         const val RELEASE_INTERVAL: Micros = 500 * MILLI
-        const val MIN_EMPTY: Micros = 600 * MILLI
+        const val MIN_EMPTY_TIME: Micros = 600 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/capacity/ScaleOut.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/ScaleOut.kt
@@ -40,7 +40,7 @@
     fun bootsSlowly(offer: Offer): Boolean = inventory.booting.isSlow(offer)
 
     /** Numbers of machines that were requested and whose names have not come back yet. */
-    fun pendingMachines(): Map<Offer, Int> {
+    fun pendingCounts(): Map<Offer, Int> {
         val counts = HashMap<Offer, Int>()
         pending.values.forEach { counts.merge(it.offer, it.request.count, Int::plus) }
         return counts
@@ -54,7 +54,7 @@
     ) {
         var left = count
         while (left > 0 && cloud.changeBudget.take(context.now, 1.0)) {
-            val rental = PendingRental(newRequest(offer, minOf(left, CloudProtocol.MAX_RENT)))
+            val rental = PendingRental(newRequest(offer, minOf(left, CloudProtocol.MAX_MACHINES_PER_RENTAL)))
             val request = rental.request
             LOG.info(
                 "scale out request={} type={} zone={} spot={} count={} reason={}",
--- a/src/main/kotlin/mintpick/engine/capacity/NoticedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/TerminationNoticeHandler.kt
@@ -12,7 +12,7 @@
 import mintpick.wire.TaskState
 
 /** Drains machines that the cloud has given a notice of their termination. Event-loop thread only. */
-class NoticedMachines(
+class TerminationNoticeHandler(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
@@ -24,26 +24,26 @@
     /** Marks machines with a notice as draining and sends them their stops at once: their next reports are not waited for. */
     fun drain() {
         for (view in agents.views()) {
-            if (!isNoticed(view)) continue
+            if (!hasNotice(view)) continue
             val retiring = cache.machines[view.id]?.record?.retiring
             if (retiring == Retiring.NO) machineRegistry.markForScaleIn(view.id, Retiring.DRAIN, "notice")
             if (hasTasksToStop(view)) agents.pushCommands(view.id)
         }
     }
 
-    private fun isNoticed(view: MachineView): Boolean =
+    private fun hasNotice(view: MachineView): Boolean =
         view.noticeEndsUs != null &&
             shardClaims.controls(view.id) &&
             commandPlanner.hasTerminationNotice(view, shardClaims.controlClaim(view.id))
 
-    private fun hasTasksToStop(view: MachineView): Boolean = view.reported.any { (attempt, task) -> isToStop(view, attempt, task) }
+    private fun hasTasksToStop(view: MachineView): Boolean = view.reportedAttempts.any { (attempt, task) -> mustStop(view, attempt, task) }
 
-    private fun isToStop(
+    private fun mustStop(
         view: MachineView,
         attempt: AttemptId,
         task: TaskReport,
     ): Boolean {
-        val isStopped = task.state == TaskState.EXITED || task.state == TaskState.SAVING
-        return !isStopped && cache.tasksOn(view.id)[attempt.task] == attempt.attempt
+        val isEnding = task.state == TaskState.EXITED || task.state == TaskState.SAVING
+        return !isEnding && cache.tasksOn(view.id)[attempt.task] == attempt.attempt
     }
 }
--- a/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
@@ -26,15 +26,15 @@
     private val machineRegistry: MachineRegistry,
 ) {
     /** The machines that calls do not reach, among the [monitored] ones. */
-    private inner class Unreachable(
+    private inner class UnreachableMachines(
         monitored: List<MachineView>,
     ) {
         private val views = monitored.filter { agents.isUnreachable(it.id) }
         private val countByZone = views.groupingBy(::zoneOf).eachCount()
 
         /** So many, or all of several, that the fault may be this controller's own network. */
-        val areMany =
-            views.size > maxOf(MAX_FEW_UNREACHABLE, monitored.size / MANY_UNREACHABLE_DIVISOR) ||
+        val isWidespread =
+            views.size > maxOf(UNREACHABLE_LIMIT, monitored.size / UNREACHABLE_SHARE_DIVISOR) ||
                 (views.size == monitored.size && monitored.size > 1)
 
         /**
@@ -42,7 +42,7 @@
          * then it may be this controller that does not reach them. Cut off from its workers alone, a leader once returned
          * 72 live machines within seconds, those of the services first.
          */
-        fun isWholeZone(
+        fun mayBeZonePartition(
             view: MachineView,
             failingSinceUs: Micros,
         ): Boolean {
@@ -52,19 +52,19 @@
     }
 
     /** Longer than any pause between two reports. */
-    private val maxReportGapUs: Micros = context.settings.reportUs * 5 / 4 + REPORT_DELAY_MARGIN
+    private val maxHeartbeatGapUs: Micros = context.settings.heartbeatIntervalUs * 5 / 4 + HEARTBEAT_DELAY_MARGIN
 
     private val cache get() = context.cache
 
     /** Probes late machines and marks those for release that have been unresponsive for long enough. */
     fun check() {
-        if (context.now - stateStore.servingSinceUs < SETTLING_TIME) return
+        if (context.now - stateStore.servingSinceUs < STARTUP_GRACE_PERIOD) return
         val monitored = agents.controlledMachines.mapNotNull(agents::view).filter(::isMonitored)
-        val serving = monitored.filterTo(HashSet(), ::servesUsers)
-        probeLate(monitored, serving)
-        val unresponsive = monitored.filter { isSilent(it, it in serving) || isOneWay(it) }
+        val serviceMachines = monitored.filterTo(HashSet(), ::runsServices)
+        probeLateMachines(monitored, serviceMachines)
+        val unresponsive = monitored.filter { hasLostContact(it, it in serviceMachines) || hasOneWayConnectivity(it) }
         if (unresponsive.isEmpty()) return
-        val unreachable = Unreachable(monitored)
+        val unreachable = UnreachableMachines(monitored)
         unresponsive.forEach { releaseIfOverdue(it, unreachable) }
     }
 
@@ -75,37 +75,37 @@
         return record.retiring == Retiring.NO || cache.tasksOn(view.id).isNotEmpty()
     }
 
-    private fun servesUsers(view: MachineView): Boolean = cache.usedByServicesOn(view.id).cpus > Resources.EPSILON
+    private fun runsServices(view: MachineView): Boolean = cache.usedByServicesOn(view.id).cpus > Resources.EPSILON
 
-    private fun probeLate(
+    private fun probeLateMachines(
         monitored: List<MachineView>,
-        serving: Set<MachineView>,
+        serviceMachines: Set<MachineView>,
     ) {
         // Probing hundreds of machines every second would cost more than what it finds out.
-        val probeInterval = maxOf(SERVING_PROBE_INTERVAL, serving.size * SECOND / MAX_PROBES_PER_SECOND)
-        val late = monitored.filter { silenceOf(it) > if (it in serving) probeInterval else maxReportGapUs }
-        val (reachable, partitioned) = late.partition { health.hasHintFromZone(zoneOf(it), context.now - ZONE_SILENCE) }
-        (reachable + sampleOf(partitioned)).forEach { agents.probe(it.id) }
+        val probeInterval = maxOf(SERVICE_PROBE_INTERVAL, serviceMachines.size * SECOND / MAX_PROBES_PER_SECOND)
+        val late = monitored.filter { timeSinceContact(it) > if (it in serviceMachines) probeInterval else maxHeartbeatGapUs }
+        val (reachable, partitioned) = late.partition { health.hasHintFromZone(zoneOf(it), context.now - ZONE_HINT_TIMEOUT) }
+        (reachable + probeSample(partitioned)).forEach { agents.probe(it.id) }
     }
 
     /** Beyond a network partition a few probes are enough to see when it ends. */
-    private fun sampleOf(partitioned: List<MachineView>): List<MachineView> {
+    private fun probeSample(partitioned: List<MachineView>): List<MachineView> {
         if (partitioned.isEmpty()) return emptyList()
-        return List(PARTITIONED_PROBES) { partitioned[context.random.nextInt(partitioned.size)] }
+        return List(PARTITION_PROBE_COUNT) { partitioned[context.random.nextInt(partitioned.size)] }
     }
 
     private fun releaseIfOverdue(
         view: MachineView,
-        unreachable: Unreachable,
+        unreachable: UnreachableMachines,
     ) {
         val failingSinceUs = agents.unreachableSince(view.id) ?: return
-        val isOneWay = isOneWay(view)
-        val sinceUs = if (isOneWay) failingSinceUs else agents.noContactSince(view.id)
-        val mayBeOwnFault = unreachable.areMany || unreachable.isWholeZone(view, failingSinceUs)
+        val hasOneWayConnectivity = hasOneWayConnectivity(view)
+        val sinceUs = if (hasOneWayConnectivity) failingSinceUs else agents.noContactSince(view.id)
+        val mayBeOwnNetworkFault = unreachable.isWidespread || unreachable.mayBeZonePartition(view, failingSinceUs)
         // Peers heard after the first call that failed: the way to the machine's zone was open when it did not respond.
         val wasZoneReachable = health.hasHintFromZone(zoneOf(view), failingSinceUs) && isZoneReachable(view)
-        val isOverdue = context.now - sinceUs > releaseDelay(view, mayBeOwnFault, wasZoneReachable)
-        if (isOverdue) machineRegistry.markForScaleIn(view.id, Retiring.NOW, if (isOneWay) "one-way" else "silent")
+        val isOverdue = context.now - sinceUs > releaseDelay(view, mayBeOwnNetworkFault, wasZoneReachable)
+        if (isOverdue) machineRegistry.markForScaleIn(view.id, Retiring.NOW, if (hasOneWayConnectivity) "one-way" else "silent")
     }
 
     /**
@@ -114,7 +114,7 @@
      */
     private fun isZoneReachable(view: MachineView): Boolean {
         val sinceUs = health.zoneReachableSince(zoneOf(view)) ?: return false
-        return sinceUs == 0L || context.now - sinceUs > maxReportGapUs
+        return sinceUs == 0L || context.now - sinceUs > maxHeartbeatGapUs
     }
 
     /**
@@ -126,54 +126,54 @@
      */
     private fun releaseDelay(
         view: MachineView,
-        mayBeOwnFault: Boolean,
+        mayBeOwnNetworkFault: Boolean,
         wasZoneReachable: Boolean,
     ): Micros {
         val leaseUs = context.settings.leaseUs
         return when {
-            !wasZoneReachable -> leaseUs * PARTITIONED_LEASES + LEASE_MARGIN + health.maxPeerRenewalUs(zoneOf(view))
+            !wasZoneReachable -> leaseUs * PARTITION_LEASE_MULTIPLE + LEASE_MARGIN + health.maxPeerRenewalUs(zoneOf(view))
             // A controller that reaches them adopts them by then.
             agents.isIsolatedFromAgents -> leaseUs + LEASE_MARGIN
-            mayBeOwnFault -> minOf(maxReportGapUs + ADOPTION_TIME, leaseUs)
+            mayBeOwnNetworkFault -> minOf(maxHeartbeatGapUs + ADOPTION_TIME, leaseUs)
             else -> 0
         }
     }
 
     /** Machines that serve users are probed between their reports; others only once a report is late. */
-    private fun isSilent(
+    private fun hasLostContact(
         view: MachineView,
-        isServing: Boolean,
+        runsServices: Boolean,
     ): Boolean {
         val failedCalls = agents.failedCalls(view.id)
-        val silence = silenceOf(view)
-        if (failedCalls == 0 || health.hasHeartbeatElsewhere(view.id, within = silence)) return false
-        if (!isServing) return silence > maxReportGapUs + SERVING_PROBE_INTERVAL
-        return failedCalls >= MIN_FAILED_CALLS && silence > SERVING_PROBE_INTERVAL * 2
+        val sinceContactUs = timeSinceContact(view)
+        if (failedCalls == 0 || health.hasHeartbeatElsewhere(view.id, within = sinceContactUs)) return false
+        if (!runsServices) return sinceContactUs > maxHeartbeatGapUs + SERVICE_PROBE_INTERVAL
+        return failedCalls >= MIN_FAILED_CALLS && sinceContactUs > SERVICE_PROBE_INTERVAL * 2
     }
 
     /**
      * Its reports come but nothing reaches it: no answer has renewed its lease and no command is executed. Another controller
      * that does reach it would have adopted it by now, and if none does, none should wait for it.
      */
-    private fun isOneWay(view: MachineView): Boolean {
+    private fun hasOneWayConnectivity(view: MachineView): Boolean {
         val sinceUs = agents.unreachableSince(view.id) ?: return false
-        return agents.failedCalls(view.id) > MIN_FAILED_CALLS && context.now - sinceUs > maxReportGapUs + ADOPTION_TIME
+        return agents.failedCalls(view.id) > MIN_FAILED_CALLS && context.now - sinceUs > maxHeartbeatGapUs + ADOPTION_TIME
     }
 
     private fun zoneOf(view: MachineView): String? = cache.machines[view.id]?.record?.zone
 
-    private fun silenceOf(view: MachineView): Micros = context.now - agents.noContactSince(view.id)
+    private fun timeSinceContact(view: MachineView): Micros = context.now - agents.noContactSince(view.id)
 
     private companion object {
         /** Up to so many unreachable machines are not many, however few are monitored. */
-        const val MAX_FEW_UNREACHABLE = 2
+        const val UNREACHABLE_LIMIT = 2
 
         /** More than this part of the monitored machines are many. */
-        const val MANY_UNREACHABLE_DIVISOR = 4
+        const val UNREACHABLE_SHARE_DIVISOR = 4
 
         /** How late a report may come without being missed. */
-        const val REPORT_DELAY_MARGIN: Micros = 600 * MILLI
-        const val SERVING_PROBE_INTERVAL: Micros = SECOND
+        const val HEARTBEAT_DELAY_MARGIN: Micros = 600 * MILLI
+        const val SERVICE_PROBE_INTERVAL: Micros = SECOND
         const val MIN_FAILED_CALLS = 2
         const val MAX_PROBES_PER_SECOND = 25
 
@@ -181,17 +181,17 @@
         const val ADOPTION_TIME: Micros = 6 * SECOND
 
         /** A zone none of whose controllers was heard for so long counts as partitioned. */
-        const val ZONE_SILENCE: Micros = 3 * SECOND
-        const val PARTITIONED_PROBES = 2
+        const val ZONE_HINT_TIMEOUT: Micros = 3 * SECOND
+        const val PARTITION_PROBE_COUNT = 2
 
         /**
          * Beyond a network partition tasks are proven to have ended by lease expiry alone; the machines are there again when
          * it ends, sooner than others would boot. Released after one lease, 170 of them were lost seconds before its end.
          */
-        const val PARTITIONED_LEASES = 2
+        const val PARTITION_LEASE_MULTIPLE = 2
         const val LEASE_MARGIN: Micros = 2 * SECOND
 
         /** How long the state service has to have served this controller before it judges machines. */
-        const val SETTLING_TIME: Micros = 6 * SECOND
+        const val STARTUP_GRACE_PERIOD: Micros = 6 * SECOND
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobAnswers.kt
@@ -99,10 +99,10 @@
         val stage =
             when {
                 job.stage == StoredStage.CANCELLED -> JobStage.CANCELLED
-                job.placed > 0 -> JobStage.RUNNING
+                job.placedCount > 0 -> JobStage.RUNNING
                 else -> JobStage.QUEUED
             }
-        return JobStatus(id.text, stage, job.done, if (job.stage == StoredStage.OPEN) job.placed else 0)
+        return JobStatus(id.text, stage, job.doneCount, if (job.stage == StoredStage.OPEN) job.placedCount else 0)
     }
 
     private fun finalStatus(
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdatePartBuilder.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdatePartBuilder.kt
@@ -54,7 +54,7 @@
         val guards = LinkedHashSet<Guard>()
         guards += Guard(Keys.job(job.id.text), draft.before.version)
         // Pieces are guarded only in the transaction that makes the main record refer to them: they never change after it.
-        if (job.specPieces != draft.before.specPieces) guards += specStorage.pieceGuards(job)
+        if (job.specPieceCount != draft.before.specPieceCount) guards += specStorage.pieceGuards(job)
         for (index in changedChunks) {
             if (index != MAIN_CHUNK) guards += Guard(Keys.chunk(job.id.text, index), draft.before.chunk(index).version)
         }
@@ -95,8 +95,8 @@
         draft: JobUpdate,
         job: Job,
     ): StoredStage? {
-        val isDone = job.stage == StoredStage.OPEN && job.done == job.spec.tasks
-        val isCancelled = job.stage == StoredStage.CANCELLED && job.placed == 0 && seesAllPlacements(draft)
+        val isDone = job.stage == StoredStage.OPEN && job.doneCount == job.spec.tasks
+        val isCancelled = job.stage == StoredStage.CANCELLED && job.placedCount == 0 && seesAllPlacements(draft)
         return when {
             isDone -> StoredStage.DONE
             isCancelled -> StoredStage.CANCELLED
--- a/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/SpecStorage.kt
@@ -44,7 +44,7 @@
      * same id.
      */
     fun pieceGuards(job: Job): Set<Guard> =
-        (0 until job.specPieces).mapTo(LinkedHashSet()) { index ->
+        (0 until job.specPieceCount).mapTo(LinkedHashSet()) { index ->
             val key = Keys.spec(job.id.text, index)
             Guard(key, cache.version(key))
         }
@@ -62,13 +62,13 @@
         return TransactionPart(job.id, setOf(Guard(Keys.job(job.id.text), job.version)), writes)
     }
 
-    private fun withSeparateSpec(job: Job): Job = if (isSeparable(job)) job.with(specPieces = pieces(job).size) else job
+    private fun withSeparateSpec(job: Job): Job = if (isSeparable(job)) job.with(specPieceCount = pieces(job).size) else job
 
     /**
      * Whether the specification of [job] can be moved to separate records: it is still in the main record, and the record
      * format is not the oldest one, which does not support separate specifications.
      */
-    private fun isSeparable(job: Job): Boolean = job.specPieces == 0 && formats.current != RecordFormat.VERBOSE
+    private fun isSeparable(job: Job): Boolean = job.specPieceCount == 0 && formats.current != RecordFormat.VERBOSE
 
     private fun pieces(job: Job): List<String> = SpecPieces.split(job.spec, formats.maxValueBytes)
 }
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -151,7 +151,7 @@
             is TransactionResult.Committed -> parts.forEach { it.listener.onCommitted() }
             is TransactionResult.Conflict -> onConflict(parts, result)
             TransactionResult.TooLarge -> onTooLarge(parts)
-            TransactionResult.Refused, TransactionResult.LeaseGone -> notifyNotCommitted(parts)
+            TransactionResult.Refused, TransactionResult.LeaseExpired -> notifyNotCommitted(parts)
             TransactionResult.Unknown -> {
                 // The transaction may still be applied later, which its guards make harmless.
                 notifyNotCommitted(parts)
--- a/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ClaimWriter.kt
@@ -35,7 +35,7 @@
         val keys = available.map { it.key }
         inFlightKeys += keys
         val claims = keys.map { Write(it, record, leased = true) }
-        val epochs = epochShards.map { Write(Keys.epoch(it), record) }
+        val epochs = epochShards.map { Write(Keys.shardEpoch(it), record) }
         stateStore.transact(available.map { it.guard }, claims + epochs) { result ->
             inFlightKeys -= keys.toSet()
             if (result is TransactionResult.Committed) {
--- a/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ControllerHealth.kt
@@ -103,7 +103,7 @@
     fun hasHeartbeatElsewhere(
         machine: MachineId,
         peer: NodeId? = null,
-        within: Micros = context.settings.reportUs + HEARTBEAT_MARGIN,
+        within: Micros = context.settings.heartbeatIntervalUs + HEARTBEAT_MARGIN,
     ): Boolean = hints.hasHeartbeatElsewhere(machine, peer, within)
 
     /** Whether the state store serves this controller and its lease is valid. */
--- a/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
@@ -84,7 +84,7 @@
         val shard = shard(machine) ?: return emptyList()
         return listOf(
             Guard(Keys.shard(shard), cache.claims[shard]?.version ?: 0),
-            Guard(Keys.epoch(shard), cache.version(Keys.epoch(shard))),
+            Guard(Keys.shardEpoch(shard), cache.version(Keys.shardEpoch(shard))),
         )
     }
 }
--- a/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
@@ -51,7 +51,7 @@
 
     /** Candidates among the peers' machines from which a peer has recently received a heartbeat. */
     fun peerCandidates(jobUpdates: JobUpdateWriter): List<CandidateMachine> =
-        health.hintedImages(context.settings.reportUs * 2).mapNotNull { (id, images) ->
+        health.hintedImages(context.settings.heartbeatIntervalUs * 2).mapNotNull { (id, images) ->
             val machine = cache.machines[id] ?: return@mapNotNull null
             val claim = shardClaims.controlClaim(id)
             if (claim == null || shardClaims.isOwn(claim)) return@mapNotNull null
--- a/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
@@ -21,10 +21,10 @@
 
     /** Number of waiting tasks of [job] that may start now. A faulty job may only run one probe, on its preferred controller. */
     fun startableTasks(job: Job): Int {
-        if (!isFaulty(job)) return job.waiting
+        if (!isFaulty(job)) return job.waitingCount
         val preferred = shardClaims.preferredController(job.id)
         val probesHere = preferred == context.self || preferred == null
-        return if (probesHere) FailureTracker.probes(job.waiting, job.placed) else 0
+        return if (probesHere) FailureTracker.startableTasks(job.waitingCount, job.placedCount) else 0
     }
 
     /**
@@ -33,7 +33,7 @@
      * are therefore ignored.
      */
     fun isFaulty(job: Job): Boolean {
-        if (job.done > 0) return false
+        if (job.doneCount > 0) return false
         if (reconciler.failures.isFaulty(job.id)) return true
         return !job.spec.isService && health.isFaultyElsewhere(job.id)
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FundedJobs.kt
@@ -29,16 +29,16 @@
     private fun evaluate(): Set<JobId> {
         val byTeam =
             context.cache.jobs
-                .filter { it.stage == StoredStage.OPEN && it.isReleased }
+                .filter { it.stage == StoredStage.OPEN && it.arePredecessorsDone }
                 .groupBy { it.spec.team }
         return context.settings.teams.flatMapTo(HashSet()) { team ->
             val guarantee = Resources(team.cpus, team.gpus, 0.0)
             val jobs = byTeam[team.name].orEmpty().sortedWith(BY_SUBMISSION)
-            FundingPolicy.funded(guarantee, jobs.map { UnfinishedJob(it.id, unfinishedDemand(it)) })
+            FundingPolicy.fundedJobs(guarantee, jobs.map { UnfinishedJob(it.id, unfinishedDemand(it)) })
         }
     }
 
-    private fun unfinishedDemand(job: Job): Resources = job.spec.demand * (job.spec.tasks - job.done).toDouble()
+    private fun unfinishedDemand(job: Job): Resources = job.spec.demand * (job.spec.tasks - job.doneCount).toDouble()
 
     private companion object {
         const val REFRESH_INTERVAL: Micros = SECOND / 10
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -54,7 +54,7 @@
         val limit = taskLimit(job, startable, pass)
         if (limit <= 0) return 0
         val found = findMachines(job, limit, candidates, pass)
-        if (found.isEmpty() || isIncompleteGang(job, found.size, job.waiting)) return 0
+        if (found.isEmpty() || isIncompleteGang(job, found.size, job.waitingCount)) return 0
         reserve(found, job, candidates, pass)
         if (!pass.hasWriteBudgetFor(job)) return 0
         val placeable = found.filter { isReadyForTasks(it.machine, candidates) }
@@ -68,7 +68,7 @@
         pass: PlacementPass,
     ): Int {
         if (!pass.jobUpdates.isTeamAvailable(job.spec.team)) return 0
-        return minOf(pass.teamQuota.tasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
+        return minOf(pass.teamQuota.remainingTasks(job.spec), MAX_TASKS_PER_PLACEMENT, startable)
     }
 
     /** Whether [count] tasks are too few to start [job]. A gang starts only as a whole. */
@@ -86,7 +86,7 @@
     ): Int {
         // Partial placements are rate-limited instead of being made for each task that ends or machine that boots, since each costs
         // a write. The capacity stays reserved for the job in the meantime.
-        val isPartial = placeable.size < job.waiting
+        val isPartial = placeable.size < job.waitingCount
         if (isPartial && !pass.mayPlacePartially) return 0
         val draft = pass.draftOf(job.id) ?: return 0
         if (draft.job.stage != StoredStage.OPEN) return 0
@@ -107,7 +107,7 @@
                 candidateFinder.tasksPerZone(job),
                 limit,
                 pass.isOverloaded,
-                avoided = reconciler.failures.failedMachines(job.id),
+                excludedMachines = reconciler.failures.failedMachines(job.id),
                 spotOnly = isSpotOnly(job),
             )
         return placer.place(request, candidates)
@@ -120,7 +120,7 @@
         candidates: Candidates,
         pass: PlacementPass,
     ) {
-        for (placement in found) candidates.take(placement.machine, job.spec.demand)
+        for (placement in found) candidates.reserve(placement.machine, job.spec.demand)
         // Tasks are placed on a borrowed machine only after its previous owner has certainly stopped placing tasks there.
         for (placement in found) {
             if (candidates[placement.machine]?.isOwned == false) pass.machinesToBorrow += placement.machine
@@ -150,7 +150,7 @@
             if (machine !in machines && !mayAddMachine(machine, machines, draft)) continue
             if (!draft.place(placement.task, machine)) continue
             machines += machine
-            pass.teamQuota.take(job.spec, 1)
+            pass.teamQuota.reserve(job.spec, 1)
             count++
         }
         pass.writesUsed += maxOf(1, draft.changedChunks.size)
@@ -179,8 +179,8 @@
     ): Boolean {
         if (job.spec.isGang) return false
         if (!pass.jobUpdates.isTeamAvailable(job.spec.team)) return false
-        if (pass.teamQuota.tasks(job.spec) <= 0) return false
-        val request = PlacementRequest(job.spec, job.waitingTasks(), candidateFinder.tasksPerZone(job), limit = 1, pass.isOverloaded)
+        if (pass.teamQuota.remainingTasks(job.spec) <= 0) return false
+        val request = PlacementRequest(job.spec, job.waitingTasks(), candidateFinder.tasksPerZone(job), maxTasks = 1, pass.isOverloaded)
         val found = placer.place(request, candidates)
         return found.any { (_, machine) -> isReadyForTasks(machine, candidates) }
     }
@@ -194,7 +194,7 @@
         if (!job.spec.spot) return false
         if (jobUrgency.of(job).priority != Priority.LOW) return false
         if (job.spec.estimateS <= SHORT_TASK_MAX_S) return false
-        return job.placed > 0 || context.wallClockUs - jobUrgency.readySinceUs(job) < SPOT_ONLY_PERIOD
+        return job.placedCount > 0 || context.wallClockUs - jobUrgency.readySinceUs(job) < SPOT_ONLY_PERIOD
     }
 
     /**
--- a/src/main/kotlin/mintpick/engine/scheduling/JobQueue.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobQueue.kt
@@ -51,7 +51,7 @@
         urgency: Urgency,
         clusterCpus: Double,
     ): Micros {
-        val clusterSeconds = job.waiting * job.spec.estimateS * job.spec.cpus / maxOf(clusterCpus, 1.0)
+        val clusterSeconds = job.waitingCount * job.spec.estimateS * job.spec.cpus / maxOf(clusterCpus, 1.0)
         val handicapUs = minOf((clusterSeconds * sizeHandicap * SECOND).toLong(), MAX_SIZE_HANDICAP)
         val arrivalUs = jobUrgency.readySinceUs(job) + handicapUs
         val latestStartUs = urgency.latestStartUs ?: return arrivalUs
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -70,8 +70,8 @@
      * is in flight. No tasks are preempted for a job that is delayed by its team's limit.
      */
     fun teamAllows(job: Job): Boolean {
-        val minTasks = if (job.spec.isGang) job.waiting else 1
-        return jobUpdates.isTeamAvailable(job.spec.team) && teamQuota.tasks(job.spec) >= minTasks
+        val minTasks = if (job.spec.isGang) job.waitingCount else 1
+        return jobUpdates.isTeamAvailable(job.spec.team) && teamQuota.remainingTasks(job.spec) >= minTasks
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
@@ -49,7 +49,7 @@
         if (!mayNeedAllMachines(job, unchangedUs)) return false
         // A gang may fit on this controller's machines if all are empty, but they may never be empty at the same time.
         val isStarvedGang = job.spec.isGang && unchangedUs >= LEADER_FALLBACK_DELAY
-        return isStarvedGang || !candidates.own.couldHold(job.spec, job.waiting)
+        return isStarvedGang || !candidates.own.couldFit(job.spec, job.waitingCount)
     }
 
     /** Whether [job] is a gang, bound to one zone, or unplaced for so long that one controller's machines may not suffice. */
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -81,7 +81,7 @@
         val preemptor = preemptorOf(job)
         val zoneCounts = HashMap(tasksPerZone)
         val sample = candidates.sample(context.random, SAMPLED_MACHINES)
-        repeat(minOf(job.waiting, MAX_MACHINES_PER_ATTEMPT)) {
+        repeat(minOf(job.waitingCount, MAX_MACHINES_PER_ATTEMPT)) {
             val plan = cheapestPlan(job.spec, sample, zoneCounts, preemptor) ?: return
             zoneCounts.merge(plan.candidate.zone, 1, Int::plus)
             execute(plan, job)
@@ -101,7 +101,7 @@
         preemptor: Preemptor,
     ): Plan? =
         sample
-            .filter { Placer.allowed(spec, it.type, it.zone, it.spot) }
+            .filter { Placer.isAllowed(spec, it.type, it.zone, it.spot) }
             .filter { (zoneCounts[it.zone] ?: 0) < spec.zoneCap }
             .filter { context.now >= (machineCooldownUntilUs[it.machine] ?: 0) }
             .mapNotNull { planOn(it, spec.demand, preemptor) }
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -71,7 +71,7 @@
         draftOf: (JobId) -> JobUpdate?,
     ) {
         // Requeued tasks are placed at once, in the write that requeues them. Otherwise more frequent passes find nothing new.
-        val hasRequeuedTasks = drafts.values.any { it.job.waiting > it.before.waiting }
+        val hasRequeuedTasks = drafts.values.any { it.job.waitingCount > it.before.waitingCount }
         if (!passRateLimiter.isDue && !hasRequeuedTasks) return
         passRateLimiter.onPassStarted(context.cache.waitingJobs().size, candidateFinder.ownMachineCount)
         lacksWriteBudget = false
@@ -97,7 +97,7 @@
         for (job in context.cache.waitingJobs()) waiting[job.id] = job
         for (draft in drafts.values) {
             val job = draft.job
-            if (job.waiting > 0) waiting[job.id] = job else waiting.remove(job.id)
+            if (job.waitingCount > 0) waiting[job.id] = job else waiting.remove(job.id)
         }
         return waiting
     }
--- a/src/main/kotlin/mintpick/engine/state/LeaseManager.kt
+++ b/src/main/kotlin/mintpick/engine/state/LeaseManager.kt
@@ -79,7 +79,7 @@
         connection.request(protocol.renew(lease), protocol::readRenewal) { result ->
             renewalInFlight = false
             if (result is StateResult.Gone && session.lease == lease) session.onLeaseLost("expired")
-            if (result is StateResult.Limited) nextRenewalUs = context.now + StateStoreConnection.RETRY_DELAY
+            if (result is StateResult.RateLimited) nextRenewalUs = context.now + StateStoreConnection.RETRY_DELAY
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
+++ b/src/main/kotlin/mintpick/engine/state/SnapshotLoader.kt
@@ -47,7 +47,7 @@
         val progress = progress
         val firstRevision = progress.firstRevision ?: page.revision
         progress.firstRevision = firstRevision
-        if (page.more && page.items.isNotEmpty()) {
+        if (page.hasMore && page.items.isNotEmpty()) {
             progress.lastKey = page.items.last().key
             load()
             return
--- a/src/main/kotlin/mintpick/engine/state/TransactionDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/state/TransactionDispatcher.kt
@@ -86,7 +86,7 @@
     ) {
         when (result) {
             is TransactionResult.Committed, is TransactionResult.Conflict, TransactionResult.TooLarge -> statistics.recordServed(sentUs)
-            TransactionResult.LeaseGone -> session.onLeaseLost("refused")
+            TransactionResult.LeaseExpired -> session.onLeaseLost("refused")
             TransactionResult.Refused -> {
                 backOffUntilUs = context.now + MIN_BACK_OFF + context.random.nextLong(BACK_OFF_JITTER)
                 if (!isRateLimited(outcome)) statistics.recordFailed()
--- a/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -45,7 +45,7 @@
 
     /** Marks task number [task] as done. */
     fun finish(task: Int) {
-        editOf(task)?.finish(task % Job.CHUNK)
+        editOf(task)?.finish(task % Job.TASKS_PER_CHUNK)
     }
 
     /** Makes task number [task] wait again. The caller must have proof that [placement] runs on no machine. */
@@ -54,7 +54,7 @@
         placement: Placement,
     ) {
         val edit = editOf(task) ?: return
-        edit.requeue(task % Job.CHUNK, placement)
+        edit.requeue(task % Job.TASKS_PER_CHUNK, placement)
         requeuedAttempts += AttemptId(TaskId(before.id, task), placement.attempt)
     }
 
@@ -63,7 +63,7 @@
         task: Int,
         machine: MachineId,
     ): Boolean {
-        val placement = editOf(task)?.place(task % Job.CHUNK, machine) ?: return false
+        val placement = editOf(task)?.place(task % Job.TASKS_PER_CHUNK, machine) ?: return false
         newPlacements += placement
         return true
     }
@@ -96,7 +96,7 @@
      * changes are planned again after this transaction.
      */
     private fun editOf(task: Int): ChunkEdit? {
-        val index = task / Job.CHUNK
+        val index = task / Job.TASKS_PER_CHUNK
         if (index !in edits && edits.size >= maxChunks) return null
         cachedJob = null
         return edits.getOrPut(index) { before.chunk(index).edit() }
--- a/src/main/kotlin/mintpick/net/GrowingPool.kt
+++ b/src/main/kotlin/mintpick/net/GrowingPool.kt
@@ -14,17 +14,17 @@
 internal class GrowingPool(
     name: String,
     threads: Int,
-    private val waiting: WaitingCalls = WaitingCalls(),
-) : ThreadPoolExecutor(minOf(CORE_THREADS, threads), threads, IDLE_THREAD_S, TimeUnit.SECONDS, waiting, { task ->
+    private val taskQueue: TaskQueue = TaskQueue(),
+) : ThreadPoolExecutor(minOf(CORE_THREADS, threads), threads, IDLE_THREAD_S, TimeUnit.SECONDS, taskQueue, { task ->
         Thread(null, task, name, STACK_BYTES).apply { isDaemon = true }
     }) {
     /** Tasks that run or wait. */
     private val unfinished = AtomicInteger()
 
     init {
-        waiting.mayGrow = { unfinished.get() > poolSize && poolSize < maximumPoolSize }
+        taskQueue.canGrow = { unfinished.get() > poolSize && poolSize < maximumPoolSize }
         setRejectedExecutionHandler { task, _ ->
-            if (isShutdown || !waiting.append(task)) {
+            if (isShutdown || !taskQueue.enqueue(task)) {
                 unfinished.decrementAndGet()
                 throw RejectedExecutionException(if (isShutdown) "$name pool stopped" else "$name queue full")
             }
@@ -44,13 +44,13 @@
     }
 
     /** The pool's queue, which refuses a task as long as the pool can start a thread for it instead. */
-    internal class WaitingCalls : LinkedBlockingQueue<Runnable>(QUEUE_CAPACITY) {
-        var mayGrow: () -> Boolean = { false }
+    internal class TaskQueue : LinkedBlockingQueue<Runnable>(QUEUE_CAPACITY) {
+        var canGrow: () -> Boolean = { false }
 
-        override fun offer(task: Runnable): Boolean = if (mayGrow()) false else super.offer(task)
+        override fun offer(task: Runnable): Boolean = if (canGrow()) false else super.offer(task)
 
         /** Queues [task] whether or not the pool could grow; false if the queue is full. */
-        fun append(task: Runnable): Boolean = super.offer(task)
+        fun enqueue(task: Runnable): Boolean = super.offer(task)
     }
 
     private companion object {
--- a/src/main/kotlin/mintpick/net/HttpCaller.kt
+++ b/src/main/kotlin/mintpick/net/HttpCaller.kt
@@ -10,16 +10,16 @@
  * Makes outgoing calls on threads per kind of target, as many as it takes up to a bound. Connections are kept and reused;
  * a call is never sent twice. Any thread may start calls.
  *
- * @param done takes each call's outcome, once; on one of the pool's threads, or on the caller's own if the call was rejected
+ * @param onOutcome takes each call's outcome, once; on one of the pool's threads, or on the caller's own if the call was rejected
  */
 class HttpCaller(
-    private val done: (id: Long, outcome: Outcome) -> Unit,
+    private val onOutcome: (id: Long, outcome: Outcome) -> Unit,
 ) {
     private val state = GrowingPool("state", STATE_THREADS)
-    private val urgent = GrowingPool("lease", 1)
+    private val urgentState = GrowingPool("lease", 1)
     private val cloud = GrowingPool("cloud", CLOUD_THREADS)
-    private val workers = GrowingPool("worker", WORKER_THREADS)
-    private val suspects = GrowingPool("suspect", SUSPECT_THREADS)
+    private val agents = GrowingPool("worker", AGENT_THREADS)
+    private val suspectAgents = GrowingPool("suspect", SUSPECT_AGENT_THREADS)
     private val peers = GrowingPool("peer", PEER_THREADS)
 
     private val idle = IdleConnections()
@@ -33,33 +33,33 @@
         call: Call,
     ) {
         try {
-            poolOf(call.target).execute { performAndReport(id, call) }
+            poolOf(call.target).execute { performAndComplete(id, call) }
         } catch (e: RejectedExecutionException) {
             LOG.debug("call dropped target={} path={} reason={}", call.target, call.path, e.message)
-            done(id, Outcome.NotSent)
+            onOutcome(id, Outcome.NotSent)
         }
     }
 
     /** Ends the threads and closes idle connections. Calls that have not begun are dropped without an outcome. Any thread, once. */
     internal fun stop() {
-        listOf(state, urgent, cloud, workers, suspects, peers).forEach { it.shutdownNow() }
+        listOf(state, urgentState, cloud, agents, suspectAgents, peers).forEach { it.shutdownNow() }
         idle.close()
     }
 
     private fun poolOf(target: Target): GrowingPool =
         when (target) {
-            is Target.State -> if (target.urgent) urgent else state
+            is Target.State -> if (target.urgent) urgentState else state
             is Target.Cloud -> cloud
-            is Target.Worker -> if (target.suspect) suspects else workers
+            is Target.Worker -> if (target.suspect) suspectAgents else agents
             is Target.Peer -> peers
         }
 
-    private fun performAndReport(
+    private fun performAndComplete(
         id: Long,
         call: Call,
     ) {
         try {
-            done(id, perform(call))
+            onOutcome(id, perform(call))
         } catch (e: InterruptedException) {
             // The pool was stopped: nobody waits for the outcome any more.
             LOG.debug("outcome dropped path={}", call.path, e)
@@ -70,10 +70,10 @@
     private fun perform(call: Call): Outcome {
         var connection: PooledConnection? = null
         try {
-            val open = idle.take(call.target.address) ?: connect(call)
+            val open = idle.acquire(call.target.address) ?: connect(call)
             connection = open
             val answer = open.exchange(call)
-            if (open.isKept) idle.give(call.target.address, open) else open.close()
+            if (open.isReusable) idle.release(call.target.address, open) else open.close()
             return answer
         } catch (e: IOException) {
             logFailure(call, e)
@@ -105,10 +105,10 @@
         /** Eight transactions, half of them without an answer, beside a watch, a lease's renewal and a catch-up. */
         private const val STATE_THREADS = 12
         private const val CLOUD_THREADS = 3
-        private const val WORKER_THREADS = 48
+        private const val AGENT_THREADS = 48
 
         /** With an eighth of a fleet dead at once, each call to one of them takes its whole time-out. */
-        private const val SUSPECT_THREADS = 32
+        private const val SUSPECT_AGENT_THREADS = 32
         private const val PEER_THREADS = 2
         private const val CONNECT_TIMEOUT_MS = 1000L
     }
--- a/src/main/kotlin/mintpick/net/IdleConnections.kt
+++ b/src/main/kotlin/mintpick/net/IdleConnections.kt
@@ -14,22 +14,22 @@
     private val nowNs: () -> Long = System::nanoTime,
 ) : AutoCloseable {
     private val byAddress = ConcurrentHashMap<String, ConcurrentLinkedDeque<PooledConnection>>()
-    private val given = AtomicInteger()
+    private val releaseCount = AtomicInteger()
 
     @Volatile private var isClosed = false
 
     /** An idle connection to [address], which is the caller's from now on; null if there is none. */
-    fun take(address: String): PooledConnection? {
+    fun acquire(address: String): PooledConnection? {
         val connections = byAddress[address] ?: return null
         while (true) {
             val connection = connections.pollFirst() ?: return null
-            if (nowNs() - connection.idleSinceNs < KEEP_NS) return connection
+            if (nowNs() - connection.idleSinceNs < MAX_IDLE_NS) return connection
             connection.close()
         }
     }
 
     /** Keeps [connection], which nobody may use any more, for the next call to [address]. */
-    fun give(
+    fun release(
         address: String,
         connection: PooledConnection,
     ) {
@@ -38,11 +38,11 @@
         byAddress.compute(address) { _, connections ->
             (connections ?: ConcurrentLinkedDeque()).apply { addFirst(connection) }
         }
-        if (given.incrementAndGet() % CLEAN_EVERY == 0) closeExpired()
+        if (releaseCount.incrementAndGet() % RELEASES_PER_CLEANUP == 0) closeExpired()
         if (isClosed) closeAll()
     }
 
-    /** Closes all, and whatever is given later. */
+    /** Closes all, and whatever is released later. */
     override fun close() {
         isClosed = true
         closeAll()
@@ -63,7 +63,7 @@
         for ((address, connections) in byAddress) {
             while (true) {
                 val oldest = connections.peekLast() ?: break
-                if (now - oldest.idleSinceNs < KEEP_NS || !connections.remove(oldest)) break
+                if (now - oldest.idleSinceNs < MAX_IDLE_NS || !connections.remove(oldest)) break
                 oldest.close()
             }
             if (connections.isEmpty()) removeIfEmpty(address)
@@ -75,7 +75,7 @@
     }
 
     private companion object {
-        val KEEP_NS: Long = TimeUnit.SECONDS.toNanos(5)
-        const val CLEAN_EVERY = 64
+        val MAX_IDLE_NS: Long = TimeUnit.SECONDS.toNanos(5)
+        const val RELEASES_PER_CLEANUP = 64
     }
 }
--- a/src/main/kotlin/mintpick/net/PooledConnection.kt
+++ b/src/main/kotlin/mintpick/net/PooledConnection.kt
@@ -20,7 +20,7 @@
     private val connection: DefaultBHttpClientConnection,
 ) : AutoCloseable {
     /** Whether the server keeps it open for another call. */
-    var isKept = true
+    var isReusable = true
         private set
 
     /** When it became idle, in nanoseconds of the steady clock. */
@@ -33,7 +33,7 @@
      * @throws org.apache.hc.core5.http.HttpException if the answer is malformed: likewise
      */
     fun exchange(call: Call): Outcome.Answered {
-        isKept = false
+        isReusable = false
         connection.setSocketTimeout(Timeout.ofMilliseconds(call.timeoutUs / MILLI))
         val request = requestOf(call)
         connection.sendRequestHeader(request)
@@ -44,7 +44,7 @@
         val answer = response.entity?.let { EntityUtils.toByteArray(it, MAX_ANSWER_BYTES) } ?: ByteArray(0)
         val closes = response.getFirstHeader("Connection")?.value?.equals("close", ignoreCase = true) == true
         // An answer that was cut off has left bytes on the connection.
-        isKept = !closes && answer.size < MAX_ANSWER_BYTES
+        isReusable = !closes && answer.size < MAX_ANSWER_BYTES
         return Outcome.Answered(response.code, answer)
     }
 
--- a/src/main/kotlin/mintpick/store/Keys.kt
+++ b/src/main/kotlin/mintpick/store/Keys.kt
@@ -19,14 +19,14 @@
     private const val TEAM = ROOT + "t/"
     private const val USAGE = ROOT + "u/"
     private const val MACHINE_LIST = ROOT + "f/"
-    private const val EPOCH = ROOT + "v/"
+    private const val SHARD_EPOCH = ROOT + "v/"
     private const val FORMAT = ROOT + "x/"
     private const val SPEC = ROOT + "p/"
 
     /** A job's main record, with its first chunk of tasks: a `JobRecord`. */
     fun job(id: String) = JOB + id
 
-    /** The tasks of a job from `index * Job.CHUNK` on: a `ChunkRecord`; those of index 0 are in the job's main record. */
+    /** The tasks of a job from `index * Job.TASKS_PER_CHUNK` on: a `ChunkRecord`; those of index 0 are in the job's main record. */
     fun chunk(
         id: String,
         index: Int,
@@ -54,7 +54,7 @@
      * A `ClaimRecord` of which only the key's version matters: it rises with every borrowing from a shard, so that its
      * owner's guards notice any of them.
      */
-    fun epoch(shard: Int) = EPOCH + shard
+    fun shardEpoch(shard: Int) = SHARD_EPOCH + shard
 
     /** A machine's own record, as earlier versions wrote it: a `MachineRecord`. */
     fun machine(machine: String) = MACHINE + machine
@@ -127,7 +127,7 @@
         ) : Subject
 
         /** Some shard's epoch; which shard's doesn't matter, since only versions of its key are used. */
-        data object Epoch : Subject
+        data object ShardEpoch : Subject
 
         /** The serving controller [node]. */
         data class Node(
@@ -173,7 +173,7 @@
             KeyFamily(CHUNK, ::chunkOf),
             KeyFamily(SHARD) { rest -> rest.toIntOrNull()?.let { Subject.Shard(it) } },
             KeyFamily(MACHINE_LIST, ::machineListOf),
-            KeyFamily(EPOCH) { Subject.Epoch },
+            KeyFamily(SHARD_EPOCH) { Subject.ShardEpoch },
             KeyFamily(BORROW) { Subject.Borrow(it) },
             KeyFamily(MACHINE) { Subject.Machine(it) },
             KeyFamily(NODE) { Subject.Node(it) },
--- a/src/main/kotlin/mintpick/store/RecordCodec.kt
+++ b/src/main/kotlin/mintpick/store/RecordCodec.kt
@@ -67,9 +67,9 @@
         format: RecordFormat,
     ): JsonElement {
         val chunk = chunkRecord(job.chunk(0), format)
-        val isSpecSeparate = job.specPieces > 0
+        val isSpecSeparate = job.specPieceCount > 0
         val spec = job.spec.takeUnless { isSpecSeparate }
-        val specPieces = job.specPieces.takeIf { isSpecSeparate }
+        val specPieces = job.specPieceCount.takeIf { isSpecSeparate }
         return encode(JobRecord(job.stage, job.spec.tasks, job.submittedUs, spec, chunk, specPieces))
     }
 
@@ -103,7 +103,7 @@
         separateSpec: JobSpec? = null,
     ): Job? {
         val spec = record.spec ?: separateSpec ?: return null
-        val firstSize = minOf(Job.CHUNK, spec.tasks)
+        val firstSize = minOf(Job.TASKS_PER_CHUNK, spec.tasks)
         val first = chunk(record.chunk ?: ChunkRecord(), firstSize, version)
         val info = JobRecordInfo(version, record.specPieces ?: 0)
         return Job(id, spec, record.stage, record.submittedUs, info, furtherChunks + (0 to first))
--- a/src/main/kotlin/mintpick/store/StateProtocol.kt
+++ b/src/main/kotlin/mintpick/store/StateProtocol.kt
@@ -33,7 +33,7 @@
     data object Refused : TransactionResult
 
     /** Not executed, nor ever will be: the lease that its writes were to be attached to has expired. */
-    data object LeaseGone : TransactionResult
+    data object LeaseExpired : TransactionResult
 
     /** Not executed, nor ever will be: beyond a limit of size or number, or malformed. */
     data object TooLarge : TransactionResult
@@ -55,7 +55,7 @@
     ) : StateResult<Nothing>
 
     /** Answered, but not executed: above a limit of the request rate. */
-    data object Limited : StateResult<Nothing>
+    data object RateLimited : StateResult<Nothing>
 
     /** Not served: not sent, not answered, an error of the service, or an answer that can't be read (which is logged). */
     data object Failed : StateResult<Nothing>
@@ -133,7 +133,7 @@
             when (outcome.status) {
                 OK -> TransactionResult.Committed(decode(outcome, TransactionAnswer.serializer()).revision)
                 CONFLICT -> decode(outcome, TransactionAnswer.serializer()).let { TransactionResult.Conflict(it.revision, it.failed) }
-                BAD_REQUEST -> if ("lease" in outcome.text()) TransactionResult.LeaseGone else TransactionResult.TooLarge
+                BAD_REQUEST -> if ("lease" in outcome.text()) TransactionResult.LeaseExpired else TransactionResult.TooLarge
                 else -> TransactionResult.Refused
             }
         } catch (e: SerializationException) {
@@ -169,7 +169,7 @@
         when (status) {
             OK -> null
             NOT_FOUND, GONE -> StateResult.Gone(status)
-            TOO_MANY_REQUESTS -> StateResult.Limited
+            TOO_MANY_REQUESTS -> StateResult.RateLimited
             else -> StateResult.Failed
         }
 
--- a/src/main/kotlin/mintpick/users/Routes.kt
+++ b/src/main/kotlin/mintpick/users/Routes.kt
@@ -54,7 +54,7 @@
         val path = request.uri.path
         when {
             path == Paths.HEALTH -> ifMethod(Method.GET, request, respond) { health(respond) }
-            path == Paths.REPORT -> ifMethod(Method.POST, request, respond) { heartbeat(request, respond) }
+            path == Paths.HEARTBEAT -> ifMethod(Method.POST, request, respond) { heartbeat(request, respond) }
             path == Paths.JOBS -> ifMethod(Method.POST, request, respond) { submit(request, respond) }
             path.startsWith(JOB_PREFIX) -> routeJob(request, path.substring(JOB_PREFIX.length), respond)
             else -> respond(NO_PATH.toResponse())
--- a/src/main/kotlin/mintpick/wire/WorkerApi.kt
+++ b/src/main/kotlin/mintpick/wire/AgentApi.kt
@@ -54,7 +54,7 @@
     UNKNOWN,
 
     @SerialName("mates_gone")
-    PEERS_GONE,
+    GANG_MEMBERS_GONE,
 
     @SerialName("alone")
     ALONE,
@@ -76,8 +76,8 @@
 /**
  * What a worker says of its machine: body of `POST /checkin`, and of its answers to `POST /commands` and `GET /inspect`.
  *
- * [session] (`shift`) is the agent's epoch, which increases when its lease expires; of two reports the one with the larger
- * ([session], [seq]) is the newer one. [token] (`baton`) is the highest fencing token that the worker has seen, [noticeS]
+ * [agentEpoch] (`shift`) is the agent's epoch, which increases when its lease expires; of two reports the one with the larger
+ * ([agentEpoch], [seq]) is the newer one. [token] (`baton`) is the highest fencing token that the worker has seen, [noticeS]
  * (`warning_s`) the seconds until the cloud takes the machine back.
  */
 @Serializable
@@ -87,7 +87,7 @@
     @SerialName("breed") val type: String,
     @SerialName("plot") val zone: String,
     @SerialName("windfall") val spot: Boolean,
-    @SerialName("shift") val session: Long,
+    @SerialName("shift") val agentEpoch: Long,
     @SerialName("tally") val seq: Long,
     @SerialName("baton") val token: Long = 0,
     @SerialName("warning_s") val noticeS: Double? = null,
@@ -107,7 +107,7 @@
 
     /** Remove an exited task from the reports. */
     @SerialName("reap")
-    FORGET,
+    REMOVE,
 }
 
 /** One of `orders` to a worker; [graceS] (`leeway_s`) is the time in whole seconds that a stopped task has to save. */
@@ -126,19 +126,19 @@
     @SerialName("orders") val commands: List<Command>,
 )
 
-/** Answer 421 to `POST /checkin`: sends a worker to the controller [reportTo] (`foreman`), or to the next one if that is null. */
+/** Answer 421 to `POST /checkin`: sends a worker to the controller [controller] (`foreman`), or to the next one if that is null. */
 @Serializable
 data class Misdirected(
-    @SerialName("foreman") val reportTo: String? = null,
+    @SerialName("foreman") val controller: String? = null,
 )
 
 /**
  * Body of `POST /commands`, sent straight to a worker; executed only if [token] (`baton`) is not lower than the highest it
- * has seen and [session] (`shift`) is its own. It does not renew the lease.
+ * has seen and [agentEpoch] (`shift`) is its own. It does not renew the lease.
  */
 @Serializable
 data class CommandBatch(
     @SerialName("baton") val token: Long,
-    @SerialName("shift") val session: Long,
+    @SerialName("shift") val agentEpoch: Long,
     @SerialName("orders") val commands: List<Command>,
 )
--- a/src/main/kotlin/mintpick/wire/CloudApi.kt
+++ b/src/main/kotlin/mintpick/wire/CloudApi.kt
@@ -70,9 +70,9 @@
     @SerialName("age_s") val ageS: Double = 0.0,
 )
 
-/** The cloud's answer to `GET /rentals`: machines ordered by name; with [more] (`has_next`) others follow after the last. */
+/** The cloud's answer to `GET /rentals`: machines ordered by name; with [hasMore] (`has_next`) others follow after the last. */
 @Serializable
 data class MachineListPage(
     @SerialName("pickers") val machines: List<ListedMachine>,
-    @SerialName("has_next") val more: Boolean = false,
+    @SerialName("has_next") val hasMore: Boolean = false,
 )
--- a/src/main/kotlin/mintpick/wire/MeshApi.kt
+++ b/src/main/kotlin/mintpick/wire/PeerApi.kt
@@ -68,7 +68,7 @@
 )
 
 /** The Protobuf dialect of hints: fields that have their defaults are left out. */
-val MeshProtobuf: ProtoBuf = ProtoBuf { encodeDefaults = false }
+val PeerProtobuf: ProtoBuf = ProtoBuf { encodeDefaults = false }
 
 /**
  * The hint in [bytes], or null if they hold none.
@@ -78,7 +78,7 @@
  */
 fun decodeHint(bytes: ByteArray): PeerHint? =
     try {
-        MeshProtobuf.decodeFromByteArray(PeerHint.serializer(), bytes)
+        PeerProtobuf.decodeFromByteArray(PeerHint.serializer(), bytes)
     } catch (_: RuntimeException) {
         null
     }
--- a/src/main/kotlin/mintpick/wire/StateApi.kt
+++ b/src/main/kotlin/mintpick/wire/StateApi.kt
@@ -45,11 +45,11 @@
     @SerialName("stamp") val version: Long,
 )
 
-/** The state service's answer to `GET /keys`: items ordered by key; with [more] (`has_next`) others follow after the last. */
+/** The state service's answer to `GET /keys`: items ordered by key; with [hasMore] (`has_next`) others follow after the last. */
 @Serializable
 data class ItemPage(
     @SerialName("pairs") val items: List<StoredItem>,
-    @SerialName("has_next") val more: Boolean = false,
+    @SerialName("has_next") val hasMore: Boolean = false,
     @SerialName("ledger_rev") val revision: Long,
 )
 
--- a/src/main/kotlin/mintpick/wire/Submission.kt
+++ b/src/main/kotlin/mintpick/wire/Submission.kt
@@ -21,7 +21,7 @@
 ) : Exception(message, cause)
 
 /** Longest name, in characters. */
-private const val MAX_NAME = 200
+private const val MAX_NAME_LENGTH = 200
 
 /**
  * Reads the body of `POST /api/jobs`. The serializer alone would take `"16"` for a number and 1e400 for a duration,
@@ -46,7 +46,7 @@
                 WireJson.parseToJsonElement(body)
             } catch (e: IllegalArgumentException) {
                 val firstLine = e.message?.lineSequence()?.firstOrNull()
-                throw MalformedException("not JSON: ${firstLine?.take(MAX_NAME)}", cause = e)
+                throw MalformedException("not JSON: ${firstLine?.take(MAX_NAME_LENGTH)}", cause = e)
             }
         val fields = root as? JsonObject ?: throw MalformedException("not an object")
         return SubmissionFields(fields).spec()
@@ -86,8 +86,8 @@
             spread = flag("spread"),
             spot = flag("windfall"),
             estimateS = amount("guess_s"),
-            checkpointS = amount("mark_every_s"),
-            saveS = amount("mark_cost_s"),
+            checkpointIntervalS = amount("mark_every_s"),
+            checkpointDurationS = amount("mark_cost_s"),
             deadlineS = optional("due_s")?.let { number("due_s", it) },
             predecessors = predecessors(id),
         )
@@ -101,7 +101,7 @@
         element: JsonElement,
     ): String {
         val text = (element as? JsonPrimitive)?.takeIf { it.isString }?.content
-        if (text.isNullOrEmpty() || text.length > MAX_NAME) throw MalformedException("$field: not a name")
+        if (text.isNullOrEmpty() || text.length > MAX_NAME_LENGTH) throw MalformedException("$field: not a name")
         return text
     }
 
--- a/src/main/kotlin/mintpick/wire/UserApi.kt
+++ b/src/main/kotlin/mintpick/wire/UserApi.kt
@@ -39,7 +39,7 @@
  * Body of `POST /api/jobs`, and the same form within the job's own record. [Submission] reads it from a user's request.
  *
  * [cpus], [gpus] and [memoryGb] are what each task takes; a name that ends in S is a duration in seconds, and
- * [deadlineS] counts from the submission. [checkpointS] is 0 for tasks that never save, [estimateS] is 0 for services.
+ * [deadlineS] counts from the submission. [checkpointIntervalS] is 0 for tasks that never save, [estimateS] is 0 for services.
  */
 @Serializable
 data class JobSpec(
@@ -60,8 +60,8 @@
     @SerialName("spread") val spread: Boolean,
     @SerialName("windfall") val spot: Boolean,
     @SerialName("guess_s") val estimateS: Double,
-    @SerialName("mark_every_s") val checkpointS: Double,
-    @SerialName("mark_cost_s") val saveS: Double,
+    @SerialName("mark_every_s") val checkpointIntervalS: Double,
+    @SerialName("mark_cost_s") val checkpointDurationS: Double,
     @SerialName("due_s") val deadlineS: Double? = null,
     /** Jobs that must be done before any task of this one starts, each once; null: none. */
     @SerialName("waits_on") val predecessors: List<String>? = null,
--- a/src/main/kotlin/mintpick/wire/Wire.kt
+++ b/src/main/kotlin/mintpick/wire/Wire.kt
@@ -22,7 +22,7 @@
     const val HEALTH = "/up"
 
     /** Reports of the workers. */
-    const val REPORT = "/checkin"
+    const val HEARTBEAT = "/checkin"
 
     /** Served by a worker: direct commands. */
     const val COMMANDS = "/commands"
--- a/src/test/kotlin/mintpick/architecture/PackageDirectionTest.kt
+++ b/src/test/kotlin/mintpick/architecture/PackageDirectionTest.kt
@@ -77,6 +77,6 @@
 
         /** From the lowest to the highest; [ENGINE] itself, with the event loop, is above all of them. */
         val LAYERS = listOf("cache", "runtime", "state", "transactions", "membership", "agents", "jobs", "scheduling", "capacity")
-        val BELOW_THE_ENGINE = listOf("wire", "config", "core", "dependencies", "store", "cloud", "workers", "net")
+        val BELOW_THE_ENGINE = listOf("wire", "config", "core", "dependencies", "store", "cloud", "agents", "net")
     }
 }
--- a/src/test/kotlin/mintpick/core/ChunkTest.kt
+++ b/src/test/kotlin/mintpick/core/ChunkTest.kt
@@ -15,7 +15,7 @@
     fun `random lives keep every task in one state, raise attempts, and survive storing`() {
         val random = SplittableRandom(7)
         repeat(200) {
-            var chunk = Chunk.empty(1 + random.nextInt(Job.CHUNK))
+            var chunk = Chunk.empty(1 + random.nextInt(Job.TASKS_PER_CHUNK))
             val done = HashSet<Int>()
             val attempts = HashMap<Int, Int>()
             repeat(60) {
--- a/src/test/kotlin/mintpick/core/FailureTrackerTest.kt
+++ b/src/test/kotlin/mintpick/core/FailureTrackerTest.kt
@@ -19,19 +19,19 @@
     @Test
     fun `a job that fails on several machines is at fault and its machines are not`() {
         val tracker = FailureTracker()
-        for (n in 1..3) for (m in 1..5) tracker.failed(machine(m), job(n), hasSucceeded = false, now = 0)
+        for (n in 1..3) for (m in 1..5) tracker.recordFailure(machine(m), job(n), hasSucceeded = false, now = 0)
         assertEquals((1..3).map(::job).toSet(), tracker.faultyJobs().toSet())
         assertEquals(emptyList<MachineId>(), tracker.faultyMachines())
-        assertEquals(1, FailureTracker.probes(waiting = 50, placed = 0))
-        assertEquals(0, FailureTracker.probes(waiting = 50, placed = 1))
+        assertEquals(1, FailureTracker.startableTasks(waiting = 50, placed = 0))
+        assertEquals(0, FailureTracker.startableTasks(waiting = 50, placed = 1))
     }
 
     @Test
     fun `a machine on which several jobs fail is at fault and the jobs are not`() {
         val tracker = FailureTracker()
-        (1..2).forEach { tracker.failed(machine(1), job(it), hasSucceeded = false, now = 0) }
+        (1..2).forEach { tracker.recordFailure(machine(1), job(it), hasSucceeded = false, now = 0) }
         assertFalse(tracker.isFaulty(machine(1)))
-        tracker.failed(machine(1), job(3), hasSucceeded = false, now = 0)
+        tracker.recordFailure(machine(1), job(3), hasSucceeded = false, now = 0)
         assertEquals(listOf(machine(1)), tracker.faultyMachines())
         assertEquals(emptyList<JobId>(), tracker.faultyJobs())
     }
@@ -39,10 +39,10 @@
     @Test
     fun `a job that succeeds is not at fault, on however many machines it fails`() {
         val tracker = FailureTracker()
-        (1..6).forEach { tracker.failed(machine(it), job(1), hasSucceeded = true, now = 0) }
+        (1..6).forEach { tracker.recordFailure(machine(it), job(1), hasSucceeded = true, now = 0) }
         assertFalse(tracker.isFaulty(job(1)))
-        (1..6).forEach { tracker.failed(machine(it), job(2), hasSucceeded = false, now = 0) }
-        tracker.succeeded(machine(9), job(2))
+        (1..6).forEach { tracker.recordFailure(machine(it), job(2), hasSucceeded = false, now = 0) }
+        tracker.recordSuccess(machine(9), job(2))
         assertFalse(tracker.isFaulty(job(2)))
         assertTrue(tracker.mayRetry(job(2), 0))
     }
@@ -53,7 +53,7 @@
         var now: Micros = 1
         var before: Micros = 0
         repeat(12) {
-            repeat(40) { task -> tracker.failed(machine(task), job(1), hasSucceeded = false, now) }
+            repeat(40) { task -> tracker.recordFailure(machine(task), job(1), hasSucceeded = false, now) }
             var pause: Micros = 0
             while (!tracker.mayRetry(job(1), now + pause)) pause += SECOND / 10
             assertTrue(pause == minOf(30 * SECOND, before * 2) || before == 0L, "$pause after $before")
@@ -73,7 +73,16 @@
                 for (m in 0..19) {
                     for (n in 0..19) {
                         val fails = n in faultyJobs || m in faultyMachines
-                        if (!fails) tracker.succeeded(machine(m), job(n)) else tracker.failed(machine(m), job(n), n !in faultyJobs, 0)
+                        if (!fails) {
+                            tracker.recordSuccess(machine(m), job(n))
+                        } else {
+                            tracker.recordFailure(
+                                machine(m),
+                                job(n),
+                                n !in faultyJobs,
+                                0,
+                            )
+                        }
                     }
                 }
                 assertEquals(faultyJobs.map(::job).toSet(), tracker.faultyJobs().toSet())
@@ -85,8 +94,8 @@
     @Test
     fun `what is over is forgotten`() {
         val tracker = FailureTracker()
-        (1..3).forEach { tracker.failed(machine(it), job(1), hasSucceeded = false, now = 0) }
-        (2..4).forEach { tracker.failed(machine(9), job(it), hasSucceeded = false, now = 0) }
+        (1..3).forEach { tracker.recordFailure(machine(it), job(1), hasSucceeded = false, now = 0) }
+        (2..4).forEach { tracker.recordFailure(machine(9), job(it), hasSucceeded = false, now = 0) }
         tracker.retain(isJobOpen = { false }, isMachineKnown = { false })
         assertFalse(tracker.hasFailed(job(1)))
         assertEquals(emptyList<MachineId>(), tracker.faultyMachines())
--- a/src/test/kotlin/mintpick/core/FairShareTest.kt
+++ b/src/test/kotlin/mintpick/core/FairShareTest.kt
@@ -54,7 +54,7 @@
         repeat(300) {
             val guarantee = Resources(random.nextInt(1, 64).toDouble(), 0.0, 0.0)
             val jobs = List(random.nextInt(1, 8)) { UnfinishedJob(JobId("req-$it"), Resources(random.nextInt(1, 20).toDouble(), 0.0, 9.0)) }
-            val funded = FundingPolicy.funded(guarantee, jobs)
+            val funded = FundingPolicy.fundedJobs(guarantee, jobs)
             assertTrue(jobs.filter { it.id in funded }.sumOf { it.demand.cpus } <= guarantee.cpus)
             assertEquals(jobs.take(funded.size).map { it.id }.toSet(), funded, "only a prefix is funded")
             jobs.getOrNull(funded.size)?.let { next ->
@@ -63,7 +63,7 @@
         }
         assertEquals(
             emptySet<JobId>(),
-            FundingPolicy.funded(Resources.ZERO, listOf(UnfinishedJob(JobId("req-1"), Resources(1.0, 0.0, 0.0)))),
+            FundingPolicy.fundedJobs(Resources.ZERO, listOf(UnfinishedJob(JobId("req-1"), Resources(1.0, 0.0, 0.0)))),
         )
     }
 
--- a/src/test/kotlin/mintpick/core/MachineViewTest.kt
+++ b/src/test/kotlin/mintpick/core/MachineViewTest.kt
@@ -12,12 +12,12 @@
 class MachineViewTest {
     private val attempt = AttemptId(TaskId(JobId("req-000001"), 0), 2)
 
-    private fun report(
+    private fun status(
         seq: Long,
         token: Long = 5,
-        session: Long = 1,
+        agentEpoch: Long = 1,
         vararg tasks: TaskReport,
-    ) = MachineReport("m", "10.1.0.1:9000", "small", "north", false, session, seq, token, null, tasks.toList())
+    ) = MachineReport("m", "10.1.0.1:9000", "small", "north", false, agentEpoch, seq, token, null, tasks.toList())
 
     private fun exited(cause: ExitCause) = TaskReport("req-000001/0", 2, TaskState.EXITED, cause)
 
@@ -26,34 +26,34 @@
     @Test
     fun `an older message never replaces a newer one`() {
         val view = view()
-        assertTrue(view.take(report(7), 1, direct = false))
-        assertFalse(view.take(report(6), 2, direct = false))
-        assertFalse(view.take(report(7), 2, direct = true))
-        assertTrue(view.take(report(1, session = 2), 3, direct = false))
-        assertFalse(view.take(report(99), 4, direct = false))
+        assertTrue(view.applyStatus(status(7), 1, isResponse = false))
+        assertFalse(view.applyStatus(status(6), 2, isResponse = false))
+        assertFalse(view.applyStatus(status(7), 2, isResponse = true))
+        assertTrue(view.applyStatus(status(1, agentEpoch = 2), 3, isResponse = false))
+        assertFalse(view.applyStatus(status(99), 4, isResponse = false))
     }
 
     @Test
     fun `absence proves nothing while an earlier controller's start may be on its way`() {
         val view = view()
-        view.take(report(1, token = 4), 1, direct = false)
+        view.applyStatus(status(1, token = 4), 1, isResponse = false)
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.take(report(2, token = 5), 2, direct = false)
+        view.applyStatus(status(2, token = 5), 2, isResponse = false)
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
     @Test
     fun `a start without an answer blocks proof and forgetting until the token or the session rises`() {
-        for ((token, session) in listOf(6L to 1L, 5L to 2L)) {
+        for ((token, agentEpoch) in listOf(6L to 1L, 5L to 2L)) {
             val view = view()
-            view.take(report(1), 1, direct = false)
-            view.startSent(attempt, 5, 1)
-            view.startLost(attempt)
-            view.take(report(2, 5, 1, exited(ExitCause.STOPPED)), 2, direct = false)
+            view.applyStatus(status(1), 1, isResponse = false)
+            view.recordStartSent(attempt, 5, 1)
+            view.recordStartTimeout(attempt)
+            view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isResponse = false)
             assertEquals(Proof.None, view.proof(attempt, 5))
             assertFalse(view.mayForget(attempt, 5))
             assertTrue(view.needsHigherToken)
-            view.take(report(3, token, session), 3, direct = false)
+            view.applyStatus(status(3, token, agentEpoch), 3, isResponse = false)
             assertEquals(Proof.Ended(null), view.proof(attempt, token))
         }
     }
@@ -61,19 +61,19 @@
     @Test
     fun `a start sent with an answer is under way until the next report`() {
         val view = view()
-        view.take(report(1), 1, direct = false)
-        view.answeredWith(setOf(attempt))
+        view.applyStatus(status(1), 1, isResponse = false)
+        view.recordStartsInResponse(setOf(attempt))
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.take(report(2), 2, direct = true)
+        view.applyStatus(status(2), 2, isResponse = true)
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.take(report(3), 3, direct = false)
+        view.applyStatus(status(3), 3, isResponse = false)
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
     @Test
     fun `completion counts whatever the token`() {
         val view = view()
-        view.take(report(1, 1, 1, exited(ExitCause.DONE)), 1, direct = false)
+        view.applyStatus(status(1, 1, 1, exited(ExitCause.DONE)), 1, isResponse = false)
         assertEquals(Proof.Completed, view.proof(attempt, 9))
         assertFalse(view.mayForget(attempt, 9))
     }
@@ -93,15 +93,15 @@
         val lease = 18 * SECOND
         val late = 40 * SECOND
         val view = view()
-        view.take(report(1, token = 4), SECOND, direct = false)
-        view.answeredReport(SECOND)
+        view.applyStatus(status(1, token = 4), SECOND, isResponse = false)
+        view.recordHeartbeatResponse(SECOND)
         assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "an earlier controller's lower token still counts with the worker")
-        view.take(report(2, token = 5), 2 * SECOND, direct = false)
-        view.answeredReport(2 * SECOND)
+        view.applyStatus(status(2, token = 5), 2 * SECOND, isResponse = false)
+        view.recordHeartbeatResponse(2 * SECOND)
         assertTrue(view.hasLeaseExpired(late, 0, 5, lease))
         assertFalse(view.hasLeaseExpired(late, 3 * SECOND, 5, lease), "before it was ours others may have answered")
         assertFalse(view.hasLeaseExpired(20 * SECOND, 0, 5, lease), "too early")
-        view.take(report(3, token = 5), 30 * SECOND, direct = false)
+        view.applyStatus(status(3, token = 5), 30 * SECOND, isResponse = false)
         assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "heard since")
     }
 
@@ -112,11 +112,11 @@
     @Test
     fun `an attempt is not forgotten while its start may be under way in an answer`() {
         val view = view()
-        view.take(report(1), 1, direct = false)
-        view.answeredWith(setOf(attempt))
-        view.take(report(2, 5, 1, exited(ExitCause.STOPPED)), 2, direct = true)
+        view.applyStatus(status(1), 1, isResponse = false)
+        view.recordStartsInResponse(setOf(attempt))
+        view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isResponse = true)
         assertFalse(view.mayForget(attempt, 5))
-        view.take(report(3, 5, 1, exited(ExitCause.STOPPED)), 3, direct = false)
+        view.applyStatus(status(3, 5, 1, exited(ExitCause.STOPPED)), 3, isResponse = false)
         assertTrue(view.mayForget(attempt, 5))
     }
 
@@ -127,11 +127,11 @@
     @Test
     fun `a start in an answer is over with the session`() {
         val view = view()
-        view.take(report(1), 1, direct = false)
-        view.answeredWith(setOf(attempt))
-        view.take(report(2), 2, direct = true)
+        view.applyStatus(status(1), 1, isResponse = false)
+        view.recordStartsInResponse(setOf(attempt))
+        view.applyStatus(status(2), 2, isResponse = true)
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.take(report(3, session = 2), 3, direct = true)
+        view.applyStatus(status(3, agentEpoch = 2), 3, isResponse = true)
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
@@ -139,15 +139,15 @@
     @Test
     fun `an answered repetition does not settle a start that was lost`() {
         val view = view()
-        view.take(report(1), 1, direct = false)
-        view.startSent(attempt, 5, 1)
-        view.startLost(attempt)
-        view.startSent(attempt, 5, 1)
-        view.startSettled(attempt)
-        view.take(report(2, 5, 1, exited(ExitCause.STOPPED)), 2, direct = true)
+        view.applyStatus(status(1), 1, isResponse = false)
+        view.recordStartSent(attempt, 5, 1)
+        view.recordStartTimeout(attempt)
+        view.recordStartSent(attempt, 5, 1)
+        view.recordStartResolved(attempt)
+        view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isResponse = true)
         assertFalse(view.mayForget(attempt, 5))
         assertTrue(view.needsHigherToken)
-        view.take(report(3, 6, 1, exited(ExitCause.STOPPED)), 3, direct = false)
+        view.applyStatus(status(3, 6, 1, exited(ExitCause.STOPPED)), 3, isResponse = false)
         assertFalse(view.needsHigherToken)
     }
 }
--- a/src/test/kotlin/mintpick/core/PlacerTest.kt
+++ b/src/test/kotlin/mintpick/core/PlacerTest.kt
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom
 
 class PlacerTest {
-    private fun rooms(random: SplittableRandom): List<CandidateMachine> =
+    private fun randomMachines(random: SplittableRandom): List<CandidateMachine> =
         List(random.nextInt(1, 20)) {
             val total = Resources(16.0, 0.0, 64.0)
             val used = random.nextDouble()
@@ -27,7 +27,7 @@
     fun `placements respect room, kind and zones`() {
         val random = SplittableRandom(11)
         repeat(400) { round ->
-            val rooms = rooms(random)
+            val machines = randomMachines(random)
             val spec =
                 SampleJobs.spec(
                     tasks = random.nextInt(1, 12),
@@ -38,8 +38,8 @@
                 )
             val placed =
                 Placer(SplittableRandom(1), 8)
-                    .place(PlacementRequest(spec, (0 until spec.tasks).asSequence(), emptyMap(), 100), Candidates.of(rooms))
-            val byId = rooms.associateBy { it.machine }
+                    .place(PlacementRequest(spec, (0 until spec.tasks).asSequence(), emptyMap(), 100), Candidates.of(machines))
+            val byId = machines.associateBy { it.machine }
             placed.groupBy { it.machine }.forEach { (machine, tasks) ->
                 assertTrue((spec.demand * tasks.size.toDouble()).fits(byId.getValue(machine).free))
             }
@@ -114,7 +114,7 @@
                 it.name
             }
         val total = Resources(8.0, 0.0, 32.0)
-        val rooms =
+        val machines =
             listOf(true, false).map { spot ->
                 CandidateMachine(MachineId("spot-$spot"), "small", "north", spot, total, total, { false }, true)
             }
@@ -122,11 +122,11 @@
         val spec = SampleJobs.spec(cpus = 4.0)
         assertEquals(
             setOf(MachineId("spot-false")),
-            scaleOutPlanner.plan(rooms, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false, keepsToSpot = true)), 5).unusedMachines,
+            scaleOutPlanner.plan(machines, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false, spotOnly = true)), 5).unusedMachines,
         )
         assertEquals(
             emptySet<MachineId>(),
-            scaleOutPlanner.plan(rooms, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false)), 5).unusedMachines,
+            scaleOutPlanner.plan(machines, listOf(CapacityDemand(spec, 4, mayRentOnDemand = false)), 5).unusedMachines,
         )
     }
 
@@ -134,7 +134,7 @@
     @Test
     fun `a spread job finds the zone that has just come back`() {
         val total = Resources(16.0, 0.0, 64.0)
-        val rooms =
+        val machines =
             List(80) {
                 val zone = if (it < 60) "north" else "south"
                 CandidateMachine(MachineId("m$it"), "large", zone, false, if (it < 60) total * 0.5 else total, total, { false }, true)
@@ -142,7 +142,7 @@
         val spec = SampleJobs.spec(tasks = 4, cpus = 1.0, spot = false, spread = true)
         for (perZone in listOf(mapOf("north" to 2), emptyMap())) {
             val tasks = (perZone.values.sum() until spec.tasks).asSequence()
-            val placed = Placer(SplittableRandom(1), 32).place(PlacementRequest(spec, tasks, perZone, 4), Candidates.of(rooms))
+            val placed = Placer(SplittableRandom(1), 32).place(PlacementRequest(spec, tasks, perZone, 4), Candidates.of(machines))
             assertEquals(tasks.toList(), placed.map { it.task }, "$perZone")
         }
     }
--- a/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
+++ b/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
@@ -32,7 +32,7 @@
     fun `a funded task inside its window is never a victim`(): Unit =
         runBlocking {
             checkAll(config, victims, preemptors) { victim, preemptor ->
-                if (victim.isFunded && !victim.isExpired) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
+                if (victim.isFunded && !victim.isPastMinimumRuntime) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
             }
         }
 
@@ -59,7 +59,7 @@
         runBlocking {
             checkAll(config, victims, preemptors) { victim, preemptor ->
                 if (victim.isFunded && PreemptionPolicy.isPreempted(victim, preemptor)) {
-                    assertTrue(victim.isExpired && victim.isTeamOverShare && !preemptor.isTeamOverShare)
+                    assertTrue(victim.isPastMinimumRuntime && victim.isTeamOverShare && !preemptor.isTeamOverShare)
                 }
             }
         }
--- a/src/test/kotlin/mintpick/engine/capacity/DemandMergingTest.kt
+++ b/src/test/kotlin/mintpick/engine/capacity/DemandAggregationTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-class DemandMergingTest {
+class DemandAggregationTest {
     private fun demand(
         id: String,
         count: Int,
@@ -17,11 +17,11 @@
         SampleJobs.spec(tasks = count, cpus = cpus, oneZone = oneZone).copy(id = id),
         count,
         perZone,
-        keepsToSpot = keepsToSpot,
+        spotOnly = keepsToSpot,
     )
 
     private fun merged(vararg demands: CapacityDemand): List<String> =
-        mergeDemands(demands.toList()).map { "${it.spec.id}:${it.spec.tasks}:${it.count}" }
+        aggregateDemands(demands.toList()).map { "${it.spec.id}:${it.spec.tasks}:${it.count}" }
 
     @Test
     fun `jobs that need the same become one demand at the place of the first`() {
--- a/src/test/kotlin/mintpick/net/HttpCallerTest.kt
+++ b/src/test/kotlin/mintpick/net/HttpCallerTest.kt
@@ -15,22 +15,25 @@
     private val outcomes = ArrayBlockingQueue<Outcome>(100)
     private val caller = HttpCaller { _, outcome -> outcomes.put(outcome) }
 
-    /** Takes connections, reads a request of [bodyBytes] from each time it is asked, and answers with what [answer] gives; null drops the line. */
+    /**
+     * Accepts connections one at a time. Reads a request with a body of [bodyBytes] bytes and sends back the text that [answer] returns
+     * for the request's number, counted from 1. Closes the connection without a response if [answer] returns null.
+     */
     private class Server(
         private val bodyBytes: Int,
         private val answer: (Int) -> String?,
     ) : AutoCloseable {
         private val socket = ServerSocket(0, 50, InetAddress.getLoopbackAddress())
         val address = "127.0.0.1:${socket.localPort}"
-        val lines = AtomicInteger()
+        val connections = AtomicInteger()
         val requests = AtomicInteger()
 
         init {
             thread(isDaemon = true) {
                 while (!socket.isClosed) {
-                    val line = runCatching { socket.accept() }.getOrNull() ?: break
-                    lines.incrementAndGet()
-                    line.use {
+                    val connection = runCatching { socket.accept() }.getOrNull() ?: break
+                    connections.incrementAndGet()
+                    connection.use {
                         val input = it.getInputStream().buffered()
                         while (true) {
                             var head = ""
@@ -59,7 +62,7 @@
     fun `a connection serves one call after the other, until its server closes it`() {
         Server(2) { n -> "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n${if (n == 2) "Connection: close\r\n" else ""}\r\n#$n" }.use { server ->
             assertEquals(listOf("#1", "#2", "#3"), List(3) { text(call(server)) })
-            assertEquals(2, server.lines.get())
+            assertEquals(2, server.connections.get())
         }
     }
 
@@ -82,7 +85,7 @@
 
     /** Sent twice by the client itself, a start would outlive the proof that it was lost. */
     @Test
-    fun `a call whose line drops is not sent again, also on a line that was kept`() {
+    fun `a call whose connection drops is not sent again, also on a connection that was kept`() {
         Server(2) { n -> if (n == 2) null else "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" }.use { server ->
             assertTrue(call(server) is Outcome.Answered)
             assertEquals(Outcome.Unanswered, call(server))
--- a/src/test/kotlin/mintpick/simulation/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GuardsTest.kt
@@ -112,7 +112,7 @@
         assertTrue(sent > 1, "$sent machines lost a start")
     }
 
-    /** `UnresponsiveMachines.isOneWay`: its reports to the others speak for a machine that hears nobody. */
+    /** `UnresponsiveMachines.hasOneWayConnectivity`: its reports to the others speak for a machine that hears nobody. */
     @Test
     fun `a machine that hears nothing is returned before its lease is over`() {
         var silent = 0
@@ -128,7 +128,7 @@
         assertTrue(silent > 2, "$silent machines were sent something early")
     }
 
-    /** `MachineView.awaits`: answering a copy counted as renewing the lease, so what a dead machine held never moved. */
+    /** `MachineView.recordHeartbeat`: answering a copy counted as renewing the lease, so what a dead machine held never moved. */
     @Test
     fun `copies of a report do not keep a lapsed machine's work from moving`() {
         val cluster = serving(63)
--- a/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
@@ -179,7 +179,7 @@
         val writes =
             listOf(
                 Change(put = Keys.borrow(machine.id), value = value, lease = record.lease),
-                Change(put = Keys.epoch(shardOf(machine)), value = value),
+                Change(put = Keys.shardEpoch(shardOf(machine)), value = value),
             )
         assertEquals(200, state.transact(Transaction(listOf(Guard(Keys.borrow(machine.id), 0)), writes)).status)
     }
@@ -223,8 +223,8 @@
                 val old = cluster.busiest().report(cluster.now).copy(tasks = emptyList())
                 val machine = cluster.emptying()
                 assertEquals(old.machine, machine.id)
-                val copy = if (name == "earlier session") old.copy(session = session - 1, seq = old.seq + 1000) else old
-                assertTrue(copy.session >= 1)
+                val copy = if (name == "earlier session") old.copy(agentEpoch = session - 1, seq = old.seq + 1000) else old
+                assertTrue(copy.agentEpoch >= 1)
                 (0L..4L).forEach { at -> cluster.after(at * SECOND) { cluster.nodes.forEach { cluster.replay(copy, it) } } }
                 cluster.assertKeptUntilHeard(machine)
             }
--- a/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -254,7 +254,7 @@
     @Test
     fun `changes are understood in whichever order a watch tells them`() {
         val controller = joined(1)
-        val chunk = Chunk.empty(Job.CHUNK).place(0, MachineId("host-000001"))
+        val chunk = Chunk.empty(Job.TASKS_PER_CHUNK).place(0, MachineId("host-000001"))
         controller.connected = false
         controller.run(14 * SECOND)
         controller.state.write(job(2, tasks = 600))
@@ -262,7 +262,7 @@
         controller.state.order = { it.reversed() }
         controller.connected = true
         controller.run(6 * SECOND)
-        assertEquals(1, controller.cache.job(JobId("req-000002"))?.placed)
+        assertEquals(1, controller.cache.job(JobId("req-000002"))?.placedCount)
     }
 
     /** A record that takes many pages was read from its beginning whenever one answer was lost. */
--- a/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
+++ b/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
@@ -45,14 +45,14 @@
     fun `the largest job record fits into the smallest value`() {
         val random = SplittableRandom(3)
         repeat(50) {
-            val machines = generateSequence { random.nextInt(30_000) }.distinct().take(Job.CHUNK).toList()
+            val machines = generateSequence { random.nextInt(30_000) }.distinct().take(Job.TASKS_PER_CHUNK).toList()
             val placed =
                 machines.withIndex().associate { (task, n) ->
                     task to
                         Placement(MachineId("host-%06d".format(n)), 1 + random.nextInt(2) * 40)
                 }
             val spec = SampleJobs.spec("req-123456789", "a team of some length", tasks = 100_000, estimateS = 123.456)
-            val chunk = Chunk(0, Job.CHUNK, placed, BitSet(), emptyMap())
+            val chunk = Chunk(0, Job.TASKS_PER_CHUNK, placed, BitSet(), emptyMap())
             val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 1_700_000_000_000_000, JobRecordInfo(version = 7), mapOf(0 to chunk))
             val value = RecordCodec.jobJson(job, RecordFormat.COMPACT)
             assertTrue(value.toString().length <= valueBytes, "${value.toString().length} B")
--- a/src/test/kotlin/mintpick/testing/SimulatedAgent.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedAgent.kt
@@ -195,7 +195,7 @@
                 ) {
                     exit(command.task, task, ExitCause.STOPPED, now)
                 }
-            Verb.FORGET -> if (task?.state == TaskState.EXITED && task.attempt == command.attempt) tasks.remove(command.task)
+            Verb.REMOVE -> if (task?.state == TaskState.EXITED && task.attempt == command.attempt) tasks.remove(command.task)
         }
     }
 
