--- a/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
@@ -16,9 +16,9 @@
 import mintpick.wire.CommandBatch
 import mintpick.wire.JobSpec
 import mintpick.wire.MachineReport
-import mintpick.wire.MeshProtobuf
 import mintpick.wire.Misdirected
 import mintpick.wire.PeerHint
+import mintpick.wire.PeerProtobuf
 import mintpick.wire.RentalRequest
 import mintpick.wire.ReportAnswer
 import mintpick.wire.WireJson
@@ -234,14 +234,14 @@
     private fun peersCut(
         from: Node,
         to: Target,
-    ): Boolean = from.cutFromPeers || nodes.first { it.settings.mesh.toString() == to.address }.cutFromPeers
+    ): Boolean = from.cutFromPeers || nodes.first { it.settings.peerApi.toString() == to.address }.cutFromPeers
 
     private fun crossesZones(
         from: Node,
         target: Target,
     ): Boolean =
         when (target) {
-            is Target.Peer -> nodes.first { it.settings.mesh.toString() == target.address }.settings.zone != from.settings.zone
+            is Target.Peer -> nodes.first { it.settings.peerApi.toString() == target.address }.settings.zone != from.settings.zone
             is Target.Worker -> workers.values.firstOrNull { it.address == target.address }?.zone != from.settings.zone
             else -> false
         }
@@ -262,8 +262,8 @@
                 ) { reply(it.status, it.body.encodeToByteArray()) }
             is Target.Cloud -> cloud.request(call, body.decodeToString(), reply)
             is Target.Peer -> {
-                val peer = nodes.first { it.settings.mesh.toString() == target.address }
-                val hint = MeshProtobuf.decodeFromByteArray(PeerHint.serializer(), body)
+                val peer = nodes.first { it.settings.peerApi.toString() == target.address }
+                val hint = PeerProtobuf.decodeFromByteArray(PeerHint.serializer(), body)
                 if (!peer.deliver(Event.Hint(hint, ReplyTo { reply(it.status, it.body) }))) refused()
             }
             is Target.Worker -> {
@@ -298,7 +298,7 @@
         // A hanging machine executes what it was sent when it carries on.
         if (now < worker.hangingUntilUs) return after(worker.hangingUntilUs - now + MILLI) { command(worker, batch, reply) }
         worker.tick(now)
-        val (status, report) = worker.direct(batch.token, batch.session, batch.commands, now)
+        val (status, report) = worker.direct(batch.token, batch.agentEpoch, batch.commands, now)
         reply(status, WireJson.encodeToString(MachineReport.serializer(), report).encodeToByteArray())
     }
 
@@ -368,7 +368,7 @@
                                 after(delay()) {
                                     if (open && workers[worker.id] === worker && now >= worker.hangingUntilUs) {
                                         open = false
-                                        take(worker, target, message.session, sent, answer)
+                                        take(worker, target, message.agentEpoch, sent, answer)
                                     }
                                 }
                             }
@@ -413,7 +413,7 @@
                 after(TICK) { reportLoop(worker, target, TICK) }
             }
             421 -> {
-                val to = WireJson.decodeFromString(Misdirected.serializer(), answer.body.decodeToString()).reportTo
+                val to = WireJson.decodeFromString(Misdirected.serializer(), answer.body.decodeToString()).controller
                 val index = nodes.indexOfFirst { it.settings.node == to }
                 if (index < 0 || index == target) {
                     after(SECOND) { reportLoop(worker, (target + 1) % NODES, 3 * SECOND) }
--- a/src/test/kotlin/mintpick/testing/StoredRecords.kt
+++ b/src/test/kotlin/mintpick/testing/StoredRecords.kt
@@ -38,7 +38,7 @@
                 .orEmpty()
         is Keys.Subject.Chunk -> {
             val tasks = rules.spec(subject.id)?.tasks ?: return emptySet()
-            val size = minOf(Job.CHUNK, tasks - subject.index * Job.CHUNK)
+            val size = minOf(Job.TASKS_PER_CHUNK, tasks - subject.index * Job.TASKS_PER_CHUNK)
             machinesOf(RecordCodec.chunk(RecordCodec.decodeChunk(value), size, 1))
         }
         is Keys.Subject.Borrow -> setOf(subject.machine)
@@ -77,7 +77,7 @@
     val text = state.keys().firstOrNull { it.first == Keys.job(job.id) }?.second ?: return
     val record = RecordCodec.decodeJob(WireJson.parseToJsonElement(text))
     if (record.spec == null) return
-    val now = RecordCodec.job(JobId(job.id), record, 1, emptyMap())?.done ?: return
+    val now = RecordCodec.job(JobId(job.id), record, 1, emptyMap())?.doneCount ?: return
     if (now < (done[job.id] ?: 0)) rules.breaches += "went_back: ${job.id} has $now done instead of ${done[job.id]}"
     done[job.id] = now
 }
--- a/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
@@ -38,7 +38,7 @@
             is Keys.Subject.Node -> "wire.NodeRecord"
             is Keys.Subject.Usage -> "wire.UsageRecord"
             is Keys.Subject.Team -> "wire.ReservationRecord"
-            is Keys.Subject.Shard, is Keys.Subject.Borrow, Keys.Subject.Leader, Keys.Subject.Epoch -> "wire.ClaimRecord"
+            is Keys.Subject.Shard, is Keys.Subject.Borrow, Keys.Subject.Leader, Keys.Subject.ShardEpoch -> "wire.ClaimRecord"
             else -> null
         }
 
--- a/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
+++ b/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
@@ -10,8 +10,8 @@
 import mintpick.testing.SimulatedCluster
 import mintpick.wire.JobSpec
 import mintpick.wire.MachineReport
-import mintpick.wire.MeshProtobuf
 import mintpick.wire.PeerHint
+import mintpick.wire.PeerProtobuf
 import mintpick.wire.WireJson
 import java.lang.reflect.InvocationHandler
 import java.lang.reflect.InvocationTargetException
@@ -77,8 +77,8 @@
     ): Any = version.create("${layout.event}\$$event", *values)
 
     private fun own(hint: PeerHint): Any {
-        val bytes = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
-        return MeshProtobuf.decodeFromByteArray(version.serializer(layout.peerHint), bytes)
+        val bytes = PeerProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
+        return PeerProtobuf.decodeFromByteArray(version.serializer(layout.peerHint), bytes)
     }
 
     private fun <T> own(
--- a/src/test/kotlin/mintpick/users/RoutesTest.kt
+++ b/src/test/kotlin/mintpick/users/RoutesTest.kt
@@ -4,8 +4,8 @@
 import mintpick.engine.runtime.Event
 import mintpick.net.Answer
 import mintpick.wire.MachineHint
-import mintpick.wire.MeshProtobuf
 import mintpick.wire.PeerHint
+import mintpick.wire.PeerProtobuf
 import org.http4k.core.MemoryBody
 import org.http4k.core.Method
 import org.http4k.core.Request
@@ -75,7 +75,7 @@
     @Test
     fun `a hint larger than the body limit of the public API is accepted`() {
         val hint = PeerHint("node-0", machines = (1..6000).map { MachineHint("host-%06d".format(it), 1) })
-        val bytes = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
+        val bytes = PeerProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
         assertTrue(bytes.size > 64 * 1024)
         routes.peerApi(Request(Method.POST, "/hint").body(MemoryBody(ByteBuffer.wrap(bytes)))) { responses += it }
         assertEquals(hint, (events.single() as Event.Hint).hint)
--- a/src/test/kotlin/mintpick/wire/MeshApiTest.kt
+++ b/src/test/kotlin/mintpick/wire/PeerApiTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-class MeshApiTest {
+class PeerApiTest {
     private val config = PropTestConfig(seed = 77)
     private val machines = arbitrary { MachineHint(Arb.string(0..12).bind(), Arb.long().bind(), Arb.list(Arb.int(0..9), 0..4).bind()) }
     private val hints =
@@ -27,7 +27,7 @@
             checkAll(config, hints) { hint ->
                 assertEquals(
                     hint,
-                    MeshProtobuf.decodeFromByteArray(PeerHint.serializer(), MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)),
+                    PeerProtobuf.decodeFromByteArray(PeerHint.serializer(), PeerProtobuf.encodeToByteArray(PeerHint.serializer(), hint)),
                 )
             }
         }
@@ -50,7 +50,7 @@
                 machines = (1..1700).map { MachineHint("host-%06d".format(it), 4_000_000, names.indices.toList()) },
                 imageNames = names,
             )
-        val bytes = MeshProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
+        val bytes = PeerProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
         assertTrue(bytes.size < 128 * 1024, "${bytes.size} bytes")
         assertEquals(names.toSet(), hint.imagesOn(hint.machines.last()))
     }
