--- a/src/main/kotlin/mintpick/net/PooledConnection.kt
+++ b/src/main/kotlin/mintpick/net/PooledConnection.kt
@@ -14,23 +14,23 @@
 import java.net.InetSocketAddress
 import java.net.Socket
 
-/** One open connection to a server, used by one call, and so by one thread, at a time. */
+/** One open connection to a server. Used by one call at a time, and so by one thread at a time. */
 internal class PooledConnection private constructor(
     private val address: String,
     private val connection: DefaultBHttpClientConnection,
 ) : AutoCloseable {
-    /** Whether the server keeps it open for another call. */
+    /** Whether the connection can be used for another call. */
     var isReusable = true
         private set
 
-    /** When it became idle, in nanoseconds of the steady clock. */
+    /** Time at which the connection became idle, in nanoseconds of the monotonic clock. */
     var idleSinceNs = 0L
 
     /**
-     * Sends [call] and reads the answer.
+     * Sends [call] and reads the answer. After an exception it is unknown whether the call was executed.
      *
-     * @throws IOException if the connection fails or the answer does not come in time: it is open whether the call was executed
-     * @throws org.apache.hc.core5.http.HttpException if the answer is malformed: likewise
+     * @throws IOException if the connection fails or the answer times out
+     * @throws org.apache.hc.core5.http.HttpException if the answer is malformed
      */
     fun exchange(call: Call): Outcome.Answered {
         isReusable = false
@@ -43,7 +43,7 @@
         connection.receiveResponseEntity(response)
         val answer = response.entity?.let { EntityUtils.toByteArray(it, MAX_ANSWER_BYTES) } ?: ByteArray(0)
         val closes = response.getFirstHeader("Connection")?.value?.equals("close", ignoreCase = true) == true
-        // An answer that was cut off has left bytes on the connection.
+        // The rest of a truncated answer may still be unread on the connection.
         isReusable = !closes && answer.size < MAX_ANSWER_BYTES
         return Outcome.Answered(response.code, answer)
     }
@@ -62,7 +62,7 @@
         return request
     }
 
-    /** Closes it at once: waiting for what a lost machine may still send would hold the caller's thread. Never throws. */
+    /** Closes the connection immediately: waiting for data from a failed machine would block the caller's thread. Never throws. */
     override fun close() {
         try {
             connection.close(CloseMode.IMMEDIATE)
@@ -75,21 +75,21 @@
         private val LOG = LoggerFactory.getLogger(PooledConnection::class.java)
         private const val BUFFER_BYTES = 2048
 
-        /** Above the largest page or watch of the state store; what is longer is cut off and so malformed. */
+        /** Larger than any page or watch answer of the state store. Longer answers are truncated, which makes them malformed. */
         private const val MAX_ANSWER_BYTES = 16 * 1024 * 1024
         private val CONFIG = Http1Config.custom().setBufferSize(BUFFER_BYTES).build()
 
         /**
          * Connects to [address], `host:port`, within [timeoutMs] milliseconds.
          *
-         * @throws IOException if no connection came about
+         * @throws IOException if the connection cannot be established
          * @throws IllegalArgumentException if [address] is malformed
          */
         fun open(
             address: String,
             timeoutMs: Int,
         ): PooledConnection {
-            // Before the socket is opened: an address that can't be parsed must not leave one behind.
+            // Parsed before the socket is opened, because a malformed address would otherwise leak it.
             val remote = InetSocketAddress(address.substringBeforeLast(':'), address.substringAfterLast(':').toInt())
             val socket = Socket()
             try {
--- a/src/main/kotlin/mintpick/store/CompactChunk.kt
+++ b/src/main/kotlin/mintpick/store/CompactChunk.kt
@@ -7,16 +7,17 @@
 import java.util.BitSet
 
 /**
- * The tasks of one chunk as a short text, so that a full chunk whose tasks are all placed on different machines fits into
- * the smallest value of the state service together with its job's specification.
+ * Encodes the tasks of one chunk as a short text. A full chunk whose tasks are all placed on different machines fits into
+ * a state store value at its lowest size limit, together with its job's specification.
  *
- * The text is base64 without padding of: the format version, the machine names ([CompactNames]), one bit per task for
- * "placed", one bit per task for "done", the index of the machine name of each placed task, and the repeated attempts.
+ * The text is base64 without padding. Its fields are, in this order: the format version, the machine names ([CompactNames]),
+ * one bit per task for "placed", one bit per task for "done", the index of the machine name of each placed task, and the
+ * number of earlier attempts of each task that has any.
  */
 internal object CompactChunk {
     private const val VERSION = 1
 
-    /** [chunk] as a text that [decode] reads; its version is not part of it. */
+    /** Encodes [chunk] as a text for [decode]. The version of its record is not part of the text. */
     fun encode(chunk: Chunk): String {
         val writer = VarintWriter()
         writer.byte(VERSION)
@@ -31,27 +32,27 @@
             val placement = chunk.placed[task] ?: continue
             writer.number(indexByName.getValue(placement.machine.text))
         }
-        writeRepeats(chunk, writer)
+        writeEarlierAttempts(chunk, writer)
         return Base64.getEncoder().withoutPadding().encodeToString(writer.toByteArray())
     }
 
-    /** Most tasks run at their first attempt, for which nothing is written. */
-    private fun writeRepeats(
+    /** Writes only tasks that have earlier attempts, since most tasks run at their first attempt. */
+    private fun writeEarlierAttempts(
         chunk: Chunk,
         writer: VarintWriter,
     ) {
-        val repeated = (0 until chunk.size).filter { repeats(chunk, it) > 0 }
-        writer.number(repeated.size)
+        val retriedTasks = (0 until chunk.size).filter { earlierAttempts(chunk, it) > 0 }
+        writer.number(retriedTasks.size)
         var previous = 0
-        for (task in repeated) {
+        for (task in retriedTasks) {
             writer.number(task - previous)
-            writer.number(repeats(chunk, task))
+            writer.number(earlierAttempts(chunk, task))
             previous = task
         }
     }
 
-    /** Attempts of [task] beyond the one that its placement implies. */
-    private fun repeats(
+    /** Returns the number of attempts of [task] before its current one; for a task that is not placed, of all its attempts. */
+    private fun earlierAttempts(
         chunk: Chunk,
         task: Int,
     ): Int {
@@ -71,8 +72,10 @@
     private fun bytesFor(bits: Int) = (bits + Byte.SIZE_BITS - 1) / Byte.SIZE_BITS
 
     /**
-     * The chunk of [size] tasks that [encode] made [text] of, at [version]. Throws an [UnreadableRecordException] if [text]
-     * is no chunk of that size, and an [ArithmeticException] if it names machines by numbers that are out of range.
+     * Decodes a chunk of [size] tasks from the [text] that [encode] returned, as of [version] of its record.
+     *
+     * Throws an [UnreadableRecordException] if [text] is not a chunk of that size, and an [ArithmeticException] if the
+     * number at the end of a machine name overflows.
      */
     fun decode(
         text: String,
@@ -80,13 +83,14 @@
         version: Long,
     ): Chunk {
         val reader = VarintReader(decodingRecord { Base64.getDecoder().decode(text) })
-        if (reader.byte() != VERSION) throw UnknownFormatException("chunk of an unknown format")
+        val formatVersion = reader.byte()
+        if (formatVersion != VERSION) throw UnknownFormatException("chunk: format version is $formatVersion, expected $VERSION")
         val names = CompactNames.read(reader).map(::MachineId)
         val placed = BitSet.valueOf(reader.raw(bytesFor(size)))
         val done = BitSet.valueOf(reader.raw(bytesFor(size)))
         val machines = readMachines(placed, names, reader)
-        val repeats = readRepeats(reader, size)
-        return Chunk(version, size, placements(machines, repeats), done, repeats)
+        val earlierAttempts = readEarlierAttempts(reader, size)
+        return Chunk(version, size, placements(machines, earlierAttempts), done, earlierAttempts)
     }
 
     private fun readMachines(
@@ -97,33 +101,33 @@
         val machines = HashMap<Int, MachineId>()
         placed.stream().forEach { task ->
             val index = reader.number()
-            requireConsistent(index < names.size) { "task $task on a machine that is not listed" }
+            requireConsistent(index < names.size) { "chunk: task $task has machine index $index, but ${names.size} machines are listed" }
             machines[task] = names[index]
         }
         return machines
     }
 
-    private fun readRepeats(
+    private fun readEarlierAttempts(
         reader: VarintReader,
         size: Int,
     ): HashMap<Int, Int> {
-        val repeats = HashMap<Int, Int>()
+        val earlierAttempts = HashMap<Int, Int>()
         var task = 0
         repeat(reader.number()) {
             task += reader.number()
-            requireConsistent(task < size) { "attempt of a task that the chunk does not have" }
-            repeats[task] = reader.number()
+            requireConsistent(task < size) { "chunk: earlier attempts of task $task are listed, but the chunk has $size tasks" }
+            earlierAttempts[task] = reader.number()
         }
-        return repeats
+        return earlierAttempts
     }
 
-    /** Removes the placed tasks from [repeats], so that those of waiting tasks remain. */
+    /** Builds the placements and removes the placed tasks from [earlierAttempts], which then holds the waiting tasks only. */
     private fun placements(
         machines: HashMap<Int, MachineId>,
-        repeats: HashMap<Int, Int>,
+        earlierAttempts: HashMap<Int, Int>,
     ): Map<Int, Placement> =
         machines.entries.associate { (task, machine) ->
-            val repeated = repeats.remove(task) ?: 0
-            task to Placement(machine, repeated + 1)
+            val earlier = earlierAttempts.remove(task) ?: 0
+            task to Placement(machine, earlier + 1)
         }
 }
--- a/src/main/kotlin/mintpick/store/CompactMachineList.kt
+++ b/src/main/kotlin/mintpick/store/CompactMachineList.kt
@@ -6,21 +6,22 @@
 import java.util.Base64
 
 /**
- * A list of machines as a short text: kinds once, names and addresses by what differs from the one before.
+ * Encodes a list of machines as a short text: each [MachineKind] once, names and addresses as differences from the previous
+ * one.
  *
- * The text is base64 without padding of: the format version, the kinds, the machine names ([CompactNames]), and for each
- * name the index of its kind combined with its retirement, and its address.
+ * The text is base64 without padding. Its fields are, in this order: the format version, the kinds, the machine names
+ * ([CompactNames]), and for each name a code that combines the index of its kind with its [Retiring] value, and its address.
  */
 internal object CompactMachineList {
     private const val VERSION = 1
 
-    /** The retirement takes the lowest part of a machine's code, below this factor; the index of its kind the rest. */
+    /** A machine's code is the index of its kind times this factor, plus the code of its [Retiring] value. */
     private const val KIND_FACTOR = 4
 
-    /** The index in this list is what is stored. */
+    /** The stored code of a [Retiring] value is its index in this list. */
     private val RETIRING_BY_CODE = listOf(Retiring.NO, Retiring.DRAIN, Retiring.NOW)
 
-    /** [machines] as a text that [decode] reads; their order is that of [CompactNames.ordered], whatever it was. */
+    /** Encodes [machines] as a text for [decode], in the order of [CompactNames.ordered]. */
     fun encode(machines: Map<MachineId, MachineRecord>): String {
         val writer = VarintWriter()
         writer.byte(VERSION)
@@ -64,20 +65,25 @@
     }
 
     /**
-     * The machines that [encode] made [text] of, in the order of their names as written. Throws an
-     * [UnreadableRecordException] if [text] is no list of machines, and an [ArithmeticException] if it names machines by
-     * numbers that are out of range.
+     * Decodes the machines from the [text] that [encode] returned, in the order in which they were written.
+     *
+     * Throws an [UnreadableRecordException] if [text] is not a list of machines, and an [ArithmeticException] if the number
+     * at the end of a machine name overflows.
      */
     fun decode(text: String): Map<MachineId, MachineRecord> {
         val reader = VarintReader(decodingRecord { Base64.getDecoder().decode(text) })
-        if (reader.byte() != VERSION) throw UnknownFormatException("machines of an unknown format")
+        val formatVersion = reader.byte()
+        if (formatVersion != VERSION) throw UnknownFormatException("machine list: format version is $formatVersion, expected $VERSION")
         val kinds = List(reader.count()) { readKind(reader) }
         var address = ""
         return CompactNames.read(reader).associate { name ->
             val code = reader.number()
             val kindIndex = code / KIND_FACTOR
             val retiringCode = code % KIND_FACTOR
-            requireConsistent(kindIndex < kinds.size && retiringCode < RETIRING_BY_CODE.size) { "a machine of an unknown kind" }
+            requireConsistent(kindIndex < kinds.size) { "machine list: kind index is $kindIndex, but ${kinds.size} kinds are listed" }
+            requireConsistent(retiringCode < RETIRING_BY_CODE.size) {
+                "machine list: retiring code is $retiringCode, allowed are 0 to ${RETIRING_BY_CODE.lastIndex}"
+            }
             val kind = kinds[kindIndex]
             address = readAddress(address, reader)
             MachineId(name) to MachineRecord(kind.type, kind.zone, kind.spot, address, RETIRING_BY_CODE[retiringCode])
@@ -96,7 +102,9 @@
     ): String {
         val prefix = reader.number()
         val suffix = reader.number()
-        requireConsistent(prefix + suffix <= previous.length) { "an address beyond the one before" }
+        requireConsistent(prefix + suffix <= previous.length) {
+            "machine list: address shares $prefix and $suffix characters with the previous one, which has only ${previous.length}"
+        }
         return previous.take(prefix) + reader.text() + previous.takeLast(suffix)
     }
 }
--- a/src/main/kotlin/mintpick/store/CompactNames.kt
+++ b/src/main/kotlin/mintpick/store/CompactNames.kt
@@ -1,24 +1,24 @@
 package mintpick.store
 
 /**
- * A set of names as few bytes: names that differ only in a number of the same length at their end are kept as the steps
- * between those numbers. A fleet's machines are named in this way, so that most names take one byte.
+ * Encodes a set of names in few bytes. Names that differ only in a number of the same length at their end are stored as the
+ * differences between consecutive numbers. Machines are usually numbered in this way, and most of their names take one byte.
  */
 object CompactNames {
-    /** Names of the same [prefix] that end in a number of [digits] digits; 0 digits for a single name without a number. */
+    /** Names that consist of the same [prefix] and a number of [digits] digits; 0 digits: a single name without a number. */
     private data class Series(
         val prefix: String,
         val digits: Int,
     )
 
-    /** So many digits fit into an [Int], whatever they are. */
+    /** The most digits for which every number fits into an [Int]. */
     private const val MAX_DIGITS = 9
 
-    /** [names] in the order in which they are written and read back. */
+    /** Sorts [names] into the order in which they are written and read. */
     fun ordered(names: Collection<String>): List<String> =
         names.sortedWith(compareBy<String>({ seriesOf(it).prefix }, { it.length }, { it }))
 
-    /** Writes [ordered], which must be in the order of the function of that name and without duplicates. */
+    /** Writes the names [ordered], which must be sorted by the function [ordered] and contain no duplicates. */
     internal fun write(
         ordered: List<String>,
         writer: VarintWriter,
@@ -29,11 +29,11 @@
             writer.text(series.prefix)
             writer.number(series.digits)
             writer.number(names.size)
-            if (series.digits > 0) writeSteps(names.map { it.takeLast(series.digits).toInt() }, writer)
+            if (series.digits > 0) writeDifferences(names.map { it.takeLast(series.digits).toInt() }, writer)
         }
     }
 
-    private fun writeSteps(
+    private fun writeDifferences(
         numbers: List<Int>,
         writer: VarintWriter,
     ) {
@@ -45,8 +45,8 @@
     }
 
     /**
-     * The names that [write] wrote, in their order. Throws an [UnreadableRecordException] if the next bytes are no names, and
-     * an [ArithmeticException] if the steps lead beyond the largest [Int].
+     * Reads the names that [write] wrote, in the same order. Throws an [UnreadableRecordException] if the next bytes are not a
+     * list of names, and an [ArithmeticException] if the sum of the differences exceeds the largest [Int].
      */
     internal fun read(reader: VarintReader): List<String> {
         val names = ArrayList<String>()
@@ -60,9 +60,10 @@
     ) {
         val prefix = reader.text()
         val digits = reader.number()
-        requireConsistent(digits <= MAX_DIGITS) { "a number of $digits digits" }
+        requireConsistent(digits <= MAX_DIGITS) { "names: number of digits is $digits, at most $MAX_DIGITS are allowed" }
         if (digits == 0) {
-            requireConsistent(reader.number() == 1) { "a name stands twice" }
+            val count = reader.number()
+            requireConsistent(count == 1) { "names: count of a name without a number is $count, only 1 is allowed" }
             names += prefix
             return
         }
--- a/src/main/kotlin/mintpick/store/Keys.kt
+++ b/src/main/kotlin/mintpick/store/Keys.kt
@@ -1,14 +1,14 @@
 package mintpick.store
 
-/** Names of the service's keys in the state service, all below one prefix so that one watch covers them. */
+/** Keys of this service in the state store. All have one prefix, and one watch covers them. */
 object Keys {
     /** The prefix of all keys. */
     const val ROOT = "mp/"
 
-    /** Who leads: a `ClaimRecord`, attached to the leader's lease. */
+    /** Claim of the leadership: a `ClaimRecord`, attached to the leader's lease. */
     const val LEADER = ROOT + "leader"
 
-    /** The machine types that can be rented, or their first piece. */
+    /** The machine types that can be rented, or the first piece of their list. */
     const val TYPES = ROOT + "types"
     private const val JOB = ROOT + "j/"
     private const val CHUNK = ROOT + "k/"
@@ -26,24 +26,24 @@
     /** A job's main record, with its first chunk of tasks: a `JobRecord`. */
     fun job(id: String) = JOB + id
 
-    /** The tasks of a job from `index * Job.TASKS_PER_CHUNK` on: a `ChunkRecord`; those of index 0 are in the job's main record. */
+    /** The tasks of a job from number `index * Job.TASKS_PER_CHUNK` on: a `ChunkRecord`. Chunk 0 is part of the job's main record. */
     fun chunk(
         id: String,
         index: Int,
     ) = if (index == 0) job(id) else "$CHUNK$id/$index"
 
-    /** Whether [key] is that of a job's further tasks. */
+    /** Whether [key] names a chunk other than a job's first one. */
     fun isChunk(key: String): Boolean = key.startsWith(CHUNK)
 
-    /** Which controller owns a shard of the machines: a `ClaimRecord`, attached to that controller's lease. */
+    /** Claim of a shard of the machines: a `ClaimRecord`, attached to the lease of the controller that owns the shard. */
     fun shard(index: Int) = SHARD + index
 
-    /** Which controller has borrowed a machine from the owner of its shard: a `ClaimRecord`, attached to its lease. */
+    /** Claim of a machine that is borrowed from the owner of its shard: a `ClaimRecord`, attached to the borrower's lease. */
     fun borrow(machine: String) = BORROW + machine
 
     /**
-     * The machines of one partition of the fleet: a `FleetRecord`. The list is split into pieces once it outgrows a value; the
-     * first has the partition's own name.
+     * The machines of one partition of the fleet: a `FleetRecord`. A list that is too large for one value is split into pieces;
+     * the key of piece 0 has no piece number.
      */
     fun machineList(
         partition: Int,
@@ -51,33 +51,33 @@
     ) = if (piece == 0) MACHINE_LIST + partition else "$MACHINE_LIST$partition/$piece"
 
     /**
-     * A `ClaimRecord` of which only the key's version matters: it rises with every borrowing from a shard, so that its
-     * owner's guards notice any of them.
+     * Epoch of a shard: a `ClaimRecord` of which only the key's version is used. The key is written whenever a machine of the
+     * shard is borrowed, and the guards of the shard's owner detect that.
      */
     fun shardEpoch(shard: Int) = SHARD_EPOCH + shard
 
-    /** A machine's own record, as earlier versions wrote it: a `MachineRecord`. */
+    /** Separate record of a machine, which only earlier versions write: a `MachineRecord`. */
     fun machine(machine: String) = MACHINE + machine
 
-    /** A controller that serves: a `NodeRecord`, attached to its lease. */
+    /** Registration of a serving controller: a `NodeRecord`, attached to its lease. */
     fun node(node: String) = NODE + node
 
-    /** What is reserved for placements of a team with a limit: a `ReservationRecord`, of which only the key's version matters. */
+    /** Resources reserved for placements of a team with a limit: a `ReservationRecord` of which only the key's version is used. */
     fun team(team: String) = TEAM + team
 
     /**
-     * A controller's use by team: a `UsageRecord`. It is kept in pieces; the whole of it, as earlier versions wrote it, is
-     * piece 0.
+     * Usage by team on a controller's machines: a `UsageRecord`. It is stored in pieces; piece 0 is the whole record of earlier
+     * versions.
      */
     fun usage(
         node: String,
         piece: Int = 0,
     ) = if (piece == 0) USAGE + node else "$USAGE$node/$piece"
 
-    /** Machine types are split into pieces once they outgrow a value; the first has the plain key. */
+    /** A piece of the list of machine types, which is split if it is too large for one value. Piece 0 has the key [TYPES]. */
     fun types(piece: Int) = if (piece == 0) TYPES else "$TYPES/$piece"
 
-    /** A piece, from 0 on, of a specification that is too large for its job's main record: a text, see [SpecPieces]. */
+    /** A piece, from 0 on, of a specification that is too large for its job's main record: a text of [SpecPieces]. */
     fun spec(
         id: String,
         piece: Int,
@@ -86,14 +86,14 @@
     /** The newest record format that a controller reads: a `FormatRecord`. */
     fun format(node: String) = FORMAT + node
 
-    /** The record that a key names. */
+    /** The record that a key refers to. */
     sealed interface Subject {
         /** The main record of job [id]. */
         data class Job(
             val id: String,
         ) : Subject
 
-        /** The further chunk [index], from 1 on, of job [id]. */
+        /** Chunk [index], from 1 on, of job [id]. */
         data class Chunk(
             val id: String,
             val index: Int,
@@ -115,18 +115,18 @@
             val machine: String,
         ) : Subject
 
-        /** A machine's own record, as earlier versions wrote it. */
+        /** The separate record of [machine], which only earlier versions write. */
         data class Machine(
             val machine: String,
         ) : Subject
 
-        /** Piece [piece] of the list of machines of [partition]. */
+        /** Piece [piece] of the machine list of fleet partition [partition]. */
         data class MachineList(
             val partition: Int,
             val piece: Int = 0,
         ) : Subject
 
-        /** Some shard's epoch; which shard's doesn't matter, since only versions of its key are used. */
+        /** The epoch of a shard. The shard's index is not read, since only the version of the key is used. */
         data object ShardEpoch : Subject
 
         /** The serving controller [node]. */
@@ -139,13 +139,13 @@
             val team: String,
         ) : Subject
 
-        /** Piece [piece] of the use by team that controller [node] summarises. */
+        /** Piece [piece] of the usage by team on the machines of controller [node]. */
         data class Usage(
             val node: String,
             val piece: Int = 0,
         ) : Subject
 
-        /** The record format that controller [node] announces. */
+        /** The newest record format that controller [node] reads. */
         data class Format(
             val node: String,
         ) : Subject
@@ -153,19 +153,19 @@
         /** The claim of the leadership. */
         data object Leader : Subject
 
-        /** Piece [piece] of the machine types. */
+        /** Piece [piece] of the list of machine types. */
         data class Types(
             val piece: Int,
         ) : Subject
     }
 
-    /** Keys that start with [prefix], and how the rest of such a key is read. */
+    /** Keys that start with [prefix]; [parseRest] reads the rest of such a key and returns null if it is invalid. */
     private class KeyFamily(
         val prefix: String,
         val parseRest: (String) -> Subject?,
     )
 
-    /** No prefix starts with another one, so that their order does not matter. */
+    /** No prefix is the start of another one, hence the order does not matter. */
     private val FAMILIES =
         listOf(
             KeyFamily("$TYPES/") { rest -> rest.toIntOrNull()?.let { Subject.Types(it) } },
@@ -183,7 +183,7 @@
             KeyFamily(USAGE, ::usageOf),
         )
 
-    /** What [key] names; null for a key that this version does not know. */
+    /** Returns the record that [key] refers to; null for a key that this version does not know. */
     fun parse(key: String): Subject? {
         if (key == LEADER) return Subject.Leader
         if (key == TYPES) return Subject.Types(0)
--- a/src/main/kotlin/mintpick/store/RecordCodec.kt
+++ b/src/main/kotlin/mintpick/store/RecordCodec.kt
@@ -20,14 +20,14 @@
 import java.util.BitSet
 
 /**
- * Turns jobs, their chunks and lists of machines into records and back. All forms of [RecordFormat] are read; a function that
- * writes is told which one to write.
+ * Converts jobs, their chunks and lists of machines to records and back. Functions that read accept every [RecordFormat];
+ * functions that write take the format as a parameter.
  *
- * Functions that read throw an [UnreadableRecordException] that says what is wrong with the record. Numbers at the end of
- * machine names that are out of range are an [ArithmeticException].
+ * Functions that read throw an [UnreadableRecordException] if the record can't be read, and an [ArithmeticException] if the
+ * number at the end of a machine name overflows.
  */
 object RecordCodec {
-    /** [chunk] in [format], as part of a job's main record (chunk 0) or as a record of its own. */
+    /** Converts [chunk] to a record in [format], which is part of a job's main record (chunk 0) or stored separately. */
     fun chunkRecord(
         chunk: Chunk,
         format: RecordFormat,
@@ -43,7 +43,7 @@
         return ChunkRecord(placed, chunk.doneRanges(), attempts)
     }
 
-    /** The chunk of [size] tasks that [record] holds, at the key's [version]. */
+    /** Reads a chunk of [size] tasks from [record]; [version] is that of its key. */
     fun chunk(
         record: ChunkRecord,
         size: Int,
@@ -61,7 +61,10 @@
         return Chunk(version, size, placed, done, attempts)
     }
 
-    /** The main record of [job], which is not over: its stage, its specification unless kept separately, and chunk 0. */
+    /**
+     * Returns the main record of a [job] that is not final: its stage, its specification unless that is stored separately, and
+     * chunk 0.
+     */
     fun jobJson(
         job: Job,
         format: RecordFormat,
@@ -73,13 +76,13 @@
         return encode(JobRecord(job.stage, job.spec.tasks, job.submittedUs, spec, chunk, specPieces))
     }
 
-    /** The record of a chunk other than a job's first (`Keys.chunk`). */
+    /** Returns the record of a chunk other than a job's first one (`Keys.chunk`). */
     fun chunkJson(
         chunk: Chunk,
         format: RecordFormat,
     ): JsonElement = WireJson.encodeToJsonElement(ChunkRecord.serializer(), chunkRecord(chunk, format))
 
-    /** The short main record of a job of [tasks] tasks that is over and has no task left on any machine. */
+    /** Returns the short main record of a final job of [tasks] tasks: it is done or cancelled, and no machine has a task of it. */
     fun finalJson(
         stage: StoredStage,
         tasks: Int,
@@ -88,12 +91,13 @@
     /** Reads a job's main record, open or final. */
     fun decodeJob(value: JsonElement): JobRecord = decode(JobRecord.serializer(), value)
 
-    /** Reads the record of a chunk other than a job's first. */
+    /** Reads the record of a chunk other than a job's first one. */
     fun decodeChunk(value: JsonElement): ChunkRecord = decode(ChunkRecord.serializer(), value)
 
     /**
-     * The job of an open [record] at the key's [version], with chunk 0 from it and the others from [furtherChunks] by index;
-     * null for a final record, or if its specification is stored separately and [separateSpec] is not given.
+     * Builds the job of a [record] that is not final, with the [version] of its key. Chunk 0 is read from the record, the other
+     * chunks are taken from [furtherChunks], by index. Returns null for a final record, or if the specification is stored
+     * separately and [separateSpec] is null.
      */
     fun job(
         id: JobId,
@@ -109,7 +113,7 @@
         return Job(id, spec, record.stage, record.submittedUs, info, furtherChunks + (0 to first))
     }
 
-    /** The record of one piece of a partition's list of machines (`Keys.machineList`). */
+    /** Returns the record of one piece of a fleet partition's machine list (`Keys.machineList`). */
     fun machineListJson(
         machines: Map<MachineId, MachineRecord>,
         format: RecordFormat,
@@ -125,7 +129,7 @@
         members: List<Map.Entry<MachineId, MachineRecord>>,
     ) = FleetGroup(kind.type, kind.zone, kind.spot, members.associate { it.key.text to it.value.address })
 
-    /** Reads what [machineListJson] wrote. */
+    /** Reads a record of [machineListJson]. */
     fun decodeMachineList(value: JsonElement): Map<MachineId, MachineRecord> {
         val record = decode(FleetRecord.serializer(), value)
         record.compact?.let { return CompactMachineList.decode(it) }
@@ -148,7 +152,7 @@
 
     private fun encode(record: JobRecord) = WireJson.encodeToJsonElement(JobRecord.serializer(), record)
 
-    /** Records keep pairs of numbers as one flat list; a last number without a partner is ignored. */
+    /** Calls [action] for each pair of numbers. Records store pairs as one flat list; an unpaired last number is ignored. */
     private inline fun forEachPair(
         flat: List<Int>,
         action: (Int, Int) -> Unit,
--- a/src/main/kotlin/mintpick/store/RecordFormat.kt
+++ b/src/main/kotlin/mintpick/store/RecordFormat.kt
@@ -1,25 +1,25 @@
 package mintpick.store
 
 /**
- * How records are written. Both forms are read at any time; which one may be written depends on what every controller
- * is known to read.
+ * Format of stored records. Every format can be read at any time. A newer format is written only once all controllers have
+ * announced that they read it.
  */
 enum class RecordFormat(
-    /** What a controller announces that reads this format and all before it. */
+    /** The level that a controller announces if it reads this format and all earlier ones. */
     val level: Int,
 ) {
-    /** JSON with names spelled out: read by every version. */
+    /** JSON with full names, which every version reads. */
     VERBOSE(1),
 
-    /** Tasks and machines as short texts, which fit into much smaller values. Jobs may have predecessors. */
+    /** Tasks and machines are encoded as short texts, which fit into much smaller values. Jobs may have predecessors. */
     COMPACT(2),
     ;
 
     companion object {
-        /** What this version reads and announces. */
+        /** The newest format that this version reads, which it announces. */
         val NEWEST = entries.last()
 
-        /** The format that may be written once every controller has announced at least [level]. */
+        /** Returns the newest format that may be written once every controller has announced at least [level]. */
         fun readableAt(level: Int): RecordFormat = entries.last { it.level <= maxOf(level, VERBOSE.level) }
     }
 }
--- a/src/main/kotlin/mintpick/store/SpecPieces.kt
+++ b/src/main/kotlin/mintpick/store/SpecPieces.kt
@@ -12,17 +12,18 @@
 import java.util.zip.InflaterInputStream
 
 /**
- * A specification that leaves no room for its job's tasks in one value, such as one that names hundreds of predecessors,
- * is kept in records of its own (`Keys.spec`): compressed, and cut into texts that each fit into a value.
+ * Splits a large job specification into pieces. If a specification leaves no room for the job's tasks in one value, for
+ * example because it names hundreds of predecessors, it is stored in separate records (`Keys.spec`): compressed, and cut into
+ * texts that each fit into a value.
  */
 object SpecPieces {
-    /** Characters around a piece in JSON. */
+    /** The quotes around a piece in JSON. */
     private const val QUOTE_CHARACTERS = 2
 
-    /** Far more than a request's body, so that no record makes a reader fill its memory. */
+    /** Limits the memory that a record can use when it is decompressed; far above the largest request body. */
     private const val MAX_SPEC_BYTES = 1 shl 20
 
-    /** The texts of all pieces of [spec], in order, each of at most [valueBytes] bytes as JSON. */
+    /** Splits [spec] into pieces of at most [valueBytes] bytes each as JSON, and returns them in order. */
     fun split(
         spec: JobSpec,
         valueBytes: Double,
@@ -36,7 +37,7 @@
             .chunked(valueBytes.toInt() - QUOTE_CHARACTERS)
     }
 
-    /** The specification that [split] made [pieces] of, given in order; a [MalformedRecordException] if they are none. */
+    /** Joins the [pieces] that [split] returned, in order; throws a [MalformedRecordException] if they are not a specification. */
     fun join(pieces: Collection<String>): JobSpec =
         decodingRecord {
             val compressed = Base64.getDecoder().decode(pieces.joinToString(""))
@@ -47,10 +48,10 @@
         try {
             InflaterInputStream(ByteArrayInputStream(compressed)).use { it.readNBytes(MAX_SPEC_BYTES) }.decodeToString()
         } catch (e: IOException) {
-            throw MalformedRecordException("a specification that can't be unpacked: ${e.message}", e)
+            throw MalformedRecordException("job specification: decompression failed: ${e.message}", e)
         }
 
-    /** One piece as the value that is stored. */
+    /** Returns [piece] as a value for the state store. */
     fun json(piece: String): JsonElement = JsonPrimitive(piece)
 
     private fun text(spec: JobSpec): String = WireJson.encodeToString(JobSpec.serializer(), spec)
--- a/src/main/kotlin/mintpick/store/StateProtocol.kt
+++ b/src/main/kotlin/mintpick/store/StateProtocol.kt
@@ -18,52 +18,53 @@
 
 /** How a transaction ended. */
 sealed interface TransactionResult {
-    /** Executed, at [revision] of the state service. */
+    /** Executed at [revision] of the state store. */
     data class Committed(
         val revision: Long,
     ) : TransactionResult
 
-    /** Not executed: at [revision], the keys in [failed] did not have the versions that its guards named. */
+    /** Not executed: at [revision], the keys in [failed] did not have the versions that the guards require. */
     data class Conflict(
         val revision: Long,
         val failed: List<String>,
     ) : TransactionResult
 
-    /** Not executed, nor ever will be; the same transaction may succeed later. */
+    /** Not executed, and this request never will be; sending the same transaction again may succeed. */
     data object Refused : TransactionResult
 
-    /** Not executed, nor ever will be: the lease that its writes were to be attached to has expired. */
+    /** Not executed, and never will be: the lease that its writes are attached to has expired. */
     data object LeaseExpired : TransactionResult
 
-    /** Not executed, nor ever will be: beyond a limit of size or number, or malformed. */
+    /** Not executed, and never will be: it exceeds a limit of size or number, or is malformed. */
     data object TooLarge : TransactionResult
 
-    /** Executed, not executed, or executed later: there was no answer, or none that can be read. */
+    /** Unknown outcome: no readable answer was received. The transaction may have been executed, or may still be executed. */
     data object Unknown : TransactionResult
 }
 
-/** How any other request to the state service ended. */
+/** How any other request to the state store ended. */
 sealed interface StateResult<out T> {
-    /** Served, with this answer. */
+    /** Successful; [value] is the answer. */
     data class Ok<T>(
         val value: T,
     ) : StateResult<T>
 
-    /** The service no longer has what was asked for: HTTP [status] 404 for a lease, 410 for the changes of a watch. */
+    /** The state store no longer has the requested item: HTTP [status] 404 for a lease, 410 for the changes of a watch. */
     data class Gone(
         val status: Int,
     ) : StateResult<Nothing>
 
-    /** Answered, but not executed: above a limit of the request rate. */
+    /** Rejected without being executed, because it exceeds a limit of the request rate. */
     data object RateLimited : StateResult<Nothing>
 
-    /** Not served: not sent, not answered, an error of the service, or an answer that can't be read (which is logged). */
+    /** Failed: not sent, timed out, answered with an error, or answered unreadably (which is logged). */
     data object Failed : StateResult<Nothing>
 }
 
 /**
- * The state service's requests, and what their answers mean. Times are microseconds of the steady clock; the protocol's are
- * milliseconds. A read function throws nothing: what can't be read is logged and counts as failed or unknown.
+ * Builds requests to the state store and interprets their answers. Times are in microseconds, those of the protocol in
+ * milliseconds. Functions that read an answer do not throw: an unreadable answer is logged, and the result is
+ * [StateResult.Failed] or [TransactionResult.Unknown].
  */
 class StateProtocol(
     address: String,
@@ -71,18 +72,18 @@
     private val target = Target.State(address)
     private val urgent = Target.State(address, urgent = true)
 
-    /** Reads at most [limit] records in the order of their keys, from the one after key [after] on; null: from the first. */
+    /** Reads at most [limit] records in the order of their keys, starting after key [after]; null: from the first key. */
     fun page(
         after: String?,
         limit: Int,
     ): Call {
         val since = if (after == null) "" else "&since=$after"
-        return Call(target, "GET", "/keys?under=${Keys.ROOT}$since&limit=$limit", timeoutUs = READ_TIMEOUT)
+        return Call(target, "GET", "/keys?under=${Keys.ROOT}$since&limit=$limit", timeoutUs = REQUEST_TIMEOUT)
     }
 
     /**
-     * Reads the changes after revision [since]. While there are none, the service holds its answer back for up to [waitUs];
-     * with 0 it answers at once.
+     * Reads the changes after revision [since]. If there are none yet, the state store delays its answer by up to [waitUs];
+     * with 0 it answers immediately.
      */
     fun watch(
         since: Long,
@@ -95,32 +96,32 @@
 
     /** Executes [transaction] if its guards hold. */
     fun transact(transaction: Transaction): Call =
-        Call(target, "POST", "/multi", encode(Transaction.serializer(), transaction), READ_TIMEOUT)
+        Call(target, "POST", "/multi", encode(Transaction.serializer(), transaction), REQUEST_TIMEOUT)
 
-    /** Asks for a lease that expires [ttlUs] after its last renewal. */
+    /** Requests a lease that expires [ttlUs] after its last renewal. */
     fun grant(ttlUs: Micros): Call =
         Call(urgent, "POST", "/leases", encode(LeaseRequest.serializer(), LeaseRequest(ttlUs / MILLI)), LEASE_TIMEOUT)
 
     /** Renews [lease]. */
     fun renew(lease: Long): Call = Call(urgent, "POST", "/leases/$lease/touch", ByteArray(0), LEASE_TIMEOUT)
 
-    /** The answer to [page]. */
+    /** Reads the answer to [page]. */
     fun readPage(outcome: Outcome): StateResult<ItemPage> = read(outcome, ItemPage.serializer())
 
-    /** The answer to [watch]. */
+    /** Reads the answer to [watch]. */
     fun readWatch(outcome: Outcome): StateResult<EventPage> = read(outcome, EventPage.serializer())
 
-    /** The answer to [grant]. */
+    /** Reads the answer to [grant]. */
     fun readLease(outcome: Outcome): StateResult<LeaseAnswer> = read(outcome, LeaseAnswer.serializer())
 
-    /** The answer to [renew], whose body does not matter. */
+    /** Reads the answer to [renew], of which only the status is used. */
     fun readRenewal(outcome: Outcome): StateResult<Unit> =
         when (outcome) {
             is Outcome.Answered -> failure(outcome.status) ?: StateResult.Ok(Unit)
             else -> StateResult.Failed
         }
 
-    /** The answer to [transact]; only [TransactionResult.Unknown] leaves open whether it was executed. */
+    /** Reads the answer to [transact]; only [TransactionResult.Unknown] means that the transaction may or may not be executed. */
     fun readTransaction(outcome: Outcome): TransactionResult =
         when (outcome) {
             Outcome.NotSent -> TransactionResult.Refused
@@ -159,7 +160,7 @@
         outcome: Outcome.Answered,
         cause: IllegalArgumentException,
     ) = LOG.debug(
-        "state answer unreadable status={} bytes={} reason={}",
+        "state store answer unreadable status={} bytes={} reason={}",
         outcome.status,
         outcome.body.size,
         cause.message?.lineSequence()?.first(),
@@ -191,11 +192,11 @@
         const val CONFLICT = 409
         const val GONE = 410
         const val TOO_MANY_REQUESTS = 429
-        const val READ_TIMEOUT: Micros = 2_000 * MILLI
+        const val REQUEST_TIMEOUT: Micros = 2_000 * MILLI
         const val CATCH_UP_TIMEOUT: Micros = 1_200 * MILLI
         const val LEASE_TIMEOUT: Micros = 1_000 * MILLI
 
-        /** How long an answer may take beyond the time that the service holds it back. */
+        /** Time to wait for an answer in addition to the time by which the state store may delay it. */
         const val WATCH_MARGIN: Micros = 3_000 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/store/UnreadableRecordException.kt
+++ b/src/main/kotlin/mintpick/store/UnreadableRecordException.kt
@@ -1,36 +1,36 @@
 package mintpick.store
 
 /**
- * A stored record, or a part of it, that can't be read; the subclass and the message say what is wrong with it. It is an
- * [IllegalArgumentException], which is what readers of records catch.
+ * Thrown if a stored record, or a part of it, can't be read. The subclass and the message say what is wrong with it. It is an
+ * [IllegalArgumentException] because the callers that read records catch that type.
  */
 sealed class UnreadableRecordException(
     message: String,
     cause: Throwable? = null,
 ) : IllegalArgumentException(message, cause)
 
-/** The record starts with a format version that this controller does not know. */
+/** The record starts with a format version that this controller does not support. */
 class UnknownFormatException(
     message: String,
 ) : UnreadableRecordException(message)
 
-/** The bytes end before the record does, or a count in them promises more than they hold. */
+/** The record is shorter than its fields require, or a count in it exceeds the bytes that follow. */
 class TruncatedRecordException(
     message: String,
 ) : UnreadableRecordException(message)
 
-/** The record has the right form, but its values contradict each other or are out of range. */
+/** The record has the right form, but a value is out of range or contradicts another one. */
 class InconsistentRecordException(
     message: String,
 ) : UnreadableRecordException(message)
 
-/** The record does not have the form of its encoding (JSON, base64, deflate); [cause] is the decoder's error. */
+/** The record is not valid JSON, base64 or deflate data, or its JSON lacks required fields; [cause] is the decoder's error. */
 class MalformedRecordException(
     message: String,
     override val cause: Throwable,
 ) : UnreadableRecordException(message, cause)
 
-/** Runs [decode]; a decoder's [IllegalArgumentException] becomes a [MalformedRecordException] with the same message. */
+/** Runs [decode] and turns any other [IllegalArgumentException] into a [MalformedRecordException] with the same message. */
 internal inline fun <T> decodingRecord(decode: () -> T): T =
     try {
         decode()
--- a/src/main/kotlin/mintpick/store/Varints.kt
+++ b/src/main/kotlin/mintpick/store/Varints.kt
@@ -2,16 +2,16 @@
 
 import java.io.ByteArrayOutputStream
 
-/** Writes counts and texts as bytes: seven bits of a number in each byte, the lowest first. */
+/** Writes numbers, texts and bytes. A number is a varint: seven bits in each byte, the lowest bits first. */
 internal class VarintWriter {
     private val bytes = ByteArrayOutputStream()
 
     /** Writes the lowest eight bits of [value]. */
     fun byte(value: Int) = bytes.write(value)
 
-    /** Writes [value] in one to five bytes; throws an [IllegalArgumentException] if it is negative. */
+    /** Writes [value] as a varint of one to five bytes; throws an [IllegalArgumentException] if it is negative. */
     fun number(value: Int) {
-        require(value >= 0) { "negative: $value" }
+        require(value >= 0) { "number to write is $value, must not be negative" }
         var rest = value
         while (rest > PAYLOAD_MASK) {
             val payload = rest and PAYLOAD_MASK
@@ -21,64 +21,68 @@
         bytes.write(rest)
     }
 
-    /** Writes the number of bytes of [value] in UTF-8, and these. */
+    /** Writes [value] as the length of its UTF-8 encoding in bytes, followed by these bytes. */
     fun text(value: String) {
         val encoded = value.encodeToByteArray()
         number(encoded.size)
         bytes.write(encoded)
     }
 
-    /** Writes [value] without its length, which the reader has to know. */
+    /** Writes [value] without its length, which the reader must know. */
     fun raw(value: ByteArray) = bytes.write(value)
 
-    /** All that has been written. */
+    /** Returns all bytes written so far. */
     fun toByteArray(): ByteArray = bytes.toByteArray()
 }
 
 /**
- * Reads what [VarintWriter] wrote. Its functions throw a [TruncatedRecordException] if the bytes end early, and an
- * [InconsistentRecordException] for a number that is out of range.
+ * Reads the bytes that a [VarintWriter] wrote. Its functions throw a [TruncatedRecordException] if too few bytes are left, and
+ * an [InconsistentRecordException] for a number that is out of range.
  */
 internal class VarintReader(
     private val bytes: ByteArray,
 ) {
     private var position = 0
 
-    /** The next byte, 0 to 255. */
+    private val remaining get() = bytes.size - position
+
+    /** Reads the next byte, 0 to 255. */
     fun byte(): Int {
-        requireRemaining(position < bytes.size) { "ends early" }
+        requireRemaining(remaining > 0) { "record ends after ${bytes.size} bytes, at least one more is expected" }
         return bytes[position++].toInt() and BYTE_MASK
     }
 
-    /** The next number, never negative. */
+    /** Reads the next number, which is never negative. */
     fun number(): Int {
+        val start = position
         var value = 0
         var shift = 0
         while (true) {
-            requireConsistent(shift < MAX_NUMBER_BITS) { "number too large" }
+            requireConsistent(shift < MAX_NUMBER_BITS) { "number at byte $start has more than $MAX_NUMBER_BYTES bytes" }
             val next = byte()
             val payload = next and PAYLOAD_MASK
             value = value or (payload shl shift)
             if (next and CONTINUATION_BIT == 0) break
             shift += PAYLOAD_BITS
         }
-        requireConsistent(value >= 0) { "number too large" }
+        requireConsistent(value >= 0) { "number at byte $start exceeds ${Int.MAX_VALUE}" }
         return value
     }
 
-    /** A number of elements that follow, each of at least one byte. */
+    /** Reads the number of elements that follow. Each must take at least one byte. */
     fun count(): Int {
+        val start = position
         val count = number()
-        requireRemaining(count <= bytes.size - position) { "count $count exceeds what is left" }
+        requireRemaining(count <= remaining) { "count at byte $start is $count, but only $remaining bytes remain" }
         return count
     }
 
-    /** The next text. */
+    /** Reads the next text. */
     fun text(): String = raw(number()).decodeToString()
 
-    /** The next [size] bytes. */
+    /** Reads the next [size] bytes. */
     fun raw(size: Int): ByteArray {
-        requireRemaining(size <= bytes.size - position) { "ends early" }
+        requireRemaining(size <= remaining) { "field at byte $position has $size bytes, but only $remaining remain" }
         val start = position
         position += size
         return bytes.copyOfRange(start, position)
@@ -97,5 +101,6 @@
 private const val CONTINUATION_BIT = 0x80
 private const val BYTE_MASK = 0xff
 
-/** Five bytes of payload, which is what the largest [Int] takes. */
-private const val MAX_NUMBER_BITS = 35
+/** Bytes that the largest [Int] takes. */
+private const val MAX_NUMBER_BYTES = 5
+private const val MAX_NUMBER_BITS = MAX_NUMBER_BYTES * PAYLOAD_BITS
--- a/src/main/kotlin/mintpick/wire/AgentApi.kt
+++ b/src/main/kotlin/mintpick/wire/AgentApi.kt
@@ -3,30 +3,30 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** `stage` of a task in a worker's report. */
+/** State of a task in an agent's heartbeat (`stage`). */
 @Serializable
 enum class TaskState {
-    /** Waits for its image. */
+    /** Waiting for its image. */
     @SerialName("fetching")
     FETCHING,
 
-    /** A gang's task while the others of the gang are not all there yet. */
+    /** Gang task that waits until all other tasks of the gang are present. */
     @SerialName("gathering")
     GATHERING,
 
     @SerialName("running")
     RUNNING,
 
-    /** Has got the command to stop and saves a checkpoint. */
+    /** Stopping by command; saves a checkpoint. */
     @SerialName("flushing")
     SAVING,
 
-    /** Ended; see [ExitCause]. */
+    /** Ended; [ExitCause] says why. */
     @SerialName("exited")
     EXITED,
 }
 
-/** `cause` of a task that has exited, in a worker's report. */
+/** Reason why a task has exited, in an agent's heartbeat (`cause`). */
 @Serializable
 enum class ExitCause {
     /** Completed. */
@@ -37,7 +37,7 @@
     @SerialName("stopped")
     STOPPED,
 
-    /** Failed: mostly a faulty machine, sometimes a job that fails everywhere. */
+    /** Failed: mostly because of a faulty machine, sometimes because the job fails on every machine. */
     @SerialName("error")
     ERROR,
 
@@ -45,7 +45,7 @@
     @SerialName("full")
     NO_ROOM,
 
-    /** Start refused: the task is on this machine with another attempt. */
+    /** Start refused: the machine has another attempt of the task. */
     @SerialName("in_use")
     BUSY,
 
@@ -61,8 +61,8 @@
 }
 
 /**
- * One of `pieces` in a [MachineReport]: a task on the machine with its [attempt] (`try`); [saved] (`stored`) says of a
- * stopped one whether its progress was saved.
+ * A task on a machine, one of `pieces` in a [MachineReport]. [attempt] (`try`) is the number of the attempt; [saved]
+ * (`stored`) says whether the progress of a stopped task was saved.
  */
 @Serializable
 data class TaskReport(
@@ -74,11 +74,12 @@
 )
 
 /**
- * What a worker says of its machine: body of `POST /checkin`, and of its answers to `POST /commands` and `GET /inspect`.
+ * Heartbeat of an agent, which describes its machine: the body of `POST /checkin`, and of the agent's answers to
+ * `POST /commands` and `GET /inspect`.
  *
- * [agentEpoch] (`shift`) is the agent's epoch, which increases when its lease expires; of two reports the one with the larger
- * ([agentEpoch], [seq]) is the newer one. [token] (`baton`) is the highest fencing token that the worker has seen, [noticeS]
- * (`warning_s`) the seconds until the cloud takes the machine back.
+ * [agentEpoch] (`shift`) increases when the agent's lease expires. Of two heartbeats the one with the larger pair
+ * ([agentEpoch], [seq]) is the newer one. [token] (`baton`) is the highest fencing token that the agent has received.
+ * [noticeS] (`warning_s`) is the time in seconds until the cloud reclaims the machine, or null if it has not announced that.
  */
 @Serializable
 data class MachineReport(
@@ -94,23 +95,23 @@
     @SerialName("pieces") val tasks: List<TaskReport> = emptyList(),
 )
 
-/** `verb` of a [Command]. */
+/** Kind of a [Command] (`verb`). */
 @Serializable
 enum class Verb {
-    /** Start the task; no effect if the worker has this attempt already, in any state. */
+    /** Start the task; no effect if the agent already has this attempt, in any state. */
     @SerialName("launch")
     START,
 
-    /** Save a checkpoint if the job has them and the grace time is long enough, then exit. */
+    /** Stop the task, after saving a checkpoint if its job has checkpoints and the grace period is long enough. */
     @SerialName("stop")
     STOP,
 
-    /** Remove an exited task from the reports. */
+    /** Remove an exited task from the heartbeats. */
     @SerialName("reap")
     REMOVE,
 }
 
-/** One of `orders` to a worker; [graceS] (`leeway_s`) is the time in whole seconds that a stopped task has to save. */
+/** Command to an agent, one of `orders`; [graceS] (`leeway_s`) is the time in seconds that a stopped task has to save a checkpoint. */
 @Serializable
 data class Command(
     @SerialName("verb") val verb: Verb,
@@ -119,22 +120,23 @@
     @SerialName("leeway_s") val graceS: Int? = null,
 )
 
-/** Answer 200 to `POST /checkin`; it renews the worker's lease unless [token] (`baton`) is lower than one it has seen. */
+/** Answer 200 to `POST /checkin`; it renews the agent's lease unless the agent has received a higher fencing [token] (`baton`). */
 @Serializable
 data class ReportAnswer(
     @SerialName("baton") val token: Long,
     @SerialName("orders") val commands: List<Command>,
 )
 
-/** Answer 421 to `POST /checkin`: sends a worker to the controller [controller] (`foreman`), or to the next one if that is null. */
+/** Answer 421 to `POST /checkin`: redirects the agent to the named [controller] (`foreman`), or to the next one if that is null. */
 @Serializable
 data class Misdirected(
     @SerialName("foreman") val controller: String? = null,
 )
 
 /**
- * Body of `POST /commands`, sent straight to a worker; executed only if [token] (`baton`) is not lower than the highest it
- * has seen and [agentEpoch] (`shift`) is its own. It does not renew the lease.
+ * Body of `POST /commands`, which a controller sends to an agent directly. The agent executes the commands only if [token]
+ * (`baton`) is not lower than the highest fencing token that it has received, and [agentEpoch] (`shift`) is its current epoch.
+ * The request does not renew the agent's lease.
  */
 @Serializable
 data class CommandBatch(
--- a/src/main/kotlin/mintpick/wire/CloudApi.kt
+++ b/src/main/kotlin/mintpick/wire/CloudApi.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 
 /**
- * One of `breeds` in the cloud's answer to `GET /machine_types`.
+ * Machine type, one of `breeds` in the cloud's answer to `GET /machine_types`.
  *
  * [memoryGb] and [cacheGb] are in GB, [fetchGbPerS] is the rate at which images are fetched, [price] and [spotPrice] are per
  * hour, and [bootS] is the nominal boot time in seconds.
@@ -29,7 +29,7 @@
     @SerialName("breeds") val types: List<MachineType>,
 )
 
-/** Body of `POST /rentals`. [request] (`hire`) names the request and makes it idempotent: a name must never be used again. */
+/** Body of `POST /rentals`. [request] (`hire`) is a unique id that makes the request idempotent; it must never be reused. */
 @Serializable
 data class RentalRequest(
     @SerialName("hire") val request: String,
@@ -39,13 +39,13 @@
     @SerialName("number") val count: Int,
 )
 
-/** `pickers`: the cloud's answer to `POST /rentals`, and the body of `POST /rentals/release`. */
+/** Names of machines (`pickers`): the cloud's answer to `POST /rentals`, and the body of `POST /rentals/release`. */
 @Serializable
 data class MachineNames(
     @SerialName("pickers") val machines: List<String>,
 )
 
-/** `stage` of a machine in the cloud's list. */
+/** Stage of a machine in the cloud's list (`stage`). */
 @Serializable
 enum class RentalStage {
     @SerialName("booting")
@@ -58,7 +58,7 @@
     FAILED,
 }
 
-/** One of `pickers` in the cloud's answer to `GET /rentals`; [ageS] is the time in seconds since the rental request. */
+/** Machine in the cloud's answer to `GET /rentals`, one of `pickers`; [ageS] is the time in seconds since the rental request. */
 @Serializable
 data class ListedMachine(
     val id: String,
@@ -70,7 +70,7 @@
     @SerialName("age_s") val ageS: Double = 0.0,
 )
 
-/** The cloud's answer to `GET /rentals`: machines ordered by name; with [hasMore] (`has_next`) others follow after the last. */
+/** The cloud's answer to `GET /rentals`: a page of machines ordered by name. [hasMore] (`has_next`): another page follows. */
 @Serializable
 data class MachineListPage(
     @SerialName("pickers") val machines: List<ListedMachine>,
--- a/src/main/kotlin/mintpick/wire/PeerApi.kt
+++ b/src/main/kotlin/mintpick/wire/PeerApi.kt
@@ -7,7 +7,7 @@
 import kotlinx.serialization.protobuf.ProtoNumber
 import kotlinx.serialization.protobuf.ProtoPacked
 
-/** Field numbers of [PeerHint]. A number is never used again for anything else. */
+/** Field numbers of [PeerHint]. The number of a removed field must not be reused. */
 private object PeerHintField {
     const val NODE = 1
     const val STATE_AGE = 2
@@ -21,7 +21,7 @@
     const val FAULTY_JOBS = 10
 }
 
-/** Field numbers of [MachineHint]. A number is never used again for anything else; 3 has been in use before. */
+/** Field numbers of [MachineHint]. The number of a removed field must not be reused; 3 belonged to one. */
 private object MachineHintField {
     const val MACHINE = 1
     const val AGE = 2
@@ -29,52 +29,55 @@
 }
 
 /**
- * Body of `POST /hint` between controllers and of its answer, in Protobuf. Hints only: no invariant depends on them.
+ * Body of `POST /hint` between controllers and of its answer, in Protobuf. It is advisory: no invariant depends on it.
  *
- * A field keeps its number and its meaning for good, since controllers of different versions exchange hints.
+ * The number and the meaning of a field must never change, because controllers of different versions exchange hints.
  */
 @Serializable
 data class PeerHint(
     @ProtoNumber(PeerHintField.NODE) val node: String,
-    /** Microseconds since the state service last served the sender; negative: never. */
+    /** Microseconds since the state store last answered the sender successfully; negative if it never did. */
     @ProtoNumber(PeerHintField.STATE_AGE) val stateAgeUs: Long = -1,
     @ProtoNumber(PeerHintField.MACHINES) val machines: List<MachineHint> = emptyList(),
     @ProtoNumber(PeerHintField.REVISION) val revision: Long = 0,
-    /** Whether [machines] is the whole list; hints without it carry only the sender's own state. */
+    /** Whether [machines] is the complete list; otherwise the hint describes only the sender itself. */
     @ProtoNumber(PeerHintField.LISTS_MACHINES) val listsMachines: Boolean = false,
-    /** Whether jobs wait that don't fit on the sender's machines. */
+    /** Whether the sender has waiting jobs that do not fit on its machines. */
     @ProtoNumber(PeerHintField.LACKS_ROOM) val lacksRoom: Boolean = false,
-    /** Names of images, each once; [MachineHint.images] holds indexes of them. */
+    /** Names of images without duplicates; [MachineHint.images] holds indexes into this list. */
     @ProtoNumber(PeerHintField.IMAGE_NAMES) val imageNames: List<String> = emptyList(),
-    /** Cancelled jobs whose tasks are not all known to be gone. */
+    /** Cancelled jobs of which some tasks are not yet known to have ended. */
     @ProtoNumber(PeerHintField.CANCELLED) val cancelled: List<String> = emptyList(),
-    /** Whether [cancelled] holds all that the sender ever confirmed, also before it was restarted: it has loaded the records. */
+    /**
+     * Whether [cancelled] includes every cancellation that the sender has confirmed, also before a restart. It does once the
+     * sender has loaded the stored records.
+     */
     @ProtoNumber(PeerHintField.CANCELLED_IS_COMPLETE) val cancelledIsComplete: Boolean = false,
-    /** Jobs that fail wherever the sender runs them. */
+    /** Jobs that fail on every machine on which the sender runs them. */
     @ProtoNumber(PeerHintField.FAULTY_JOBS) val faultyJobs: List<String> = emptyList(),
 ) {
-    /** Names of the images that [machine] holds; an index that is out of range is left out. */
+    /** Returns the names of the images that [machine] holds; ignores indexes that are out of range. */
     fun imagesOn(machine: MachineHint): Set<String> = machine.images.mapNotNullTo(HashSet()) { imageNames.getOrNull(it) }
 }
 
-/** A machine of the sender in a [PeerHint]. */
+/** Machine under the sender's control in a [PeerHint]. */
 @Serializable
 data class MachineHint(
     @ProtoNumber(MachineHintField.MACHINE) val machine: String,
-    /** Microseconds since its last report. */
+    /** Microseconds since its last heartbeat. */
     @ProtoNumber(MachineHintField.AGE) val ageUs: Long,
-    /** Indexes into [PeerHint.imageNames]: spelled out for each machine, images were most of a hint's size. */
+    /** Indexes into [PeerHint.imageNames]. Names repeated for each machine made up most of a hint's size. */
     @ProtoNumber(MachineHintField.IMAGES) @ProtoPacked val images: List<Int> = emptyList(),
 )
 
-/** The Protobuf dialect of hints: fields that have their defaults are left out. */
+/** Protobuf configuration of hints: fields with default values are omitted. */
 val PeerProtobuf: ProtoBuf = ProtoBuf { encodeDefaults = false }
 
 /**
- * The hint in [bytes], or null if they hold none.
+ * Decodes the hint in [bytes]; null if they are not a hint.
  *
- * Broken input makes the decoder fail in more ways than its own exceptions, so every one of its failures means the same.
- * The bytes are another controller's, so the failure says nothing about this one; the caller answers or ignores it.
+ * Malformed input makes the decoder throw other runtime exceptions than its own, for example index errors. All of them are
+ * treated as malformed input. They are not logged: the bytes come from a peer, and the caller answers or ignores them.
  */
 fun decodeHint(bytes: ByteArray): PeerHint? =
     try {
@@ -84,9 +87,10 @@
     }
 
 /**
- * Answer to `GET /status` on the mesh address, in JSON: for people on call, not for programs to depend on.
+ * Answer to `GET /status` on the address for peers (`mesh_addr`), in JSON. It is meant for operators; programs must not
+ * depend on it.
  *
- * Counts are of this controller at this moment unless said otherwise.
+ * Unless noted otherwise, the values describe the current state of this controller.
  */
 @Serializable
 data class NodeStatus(
@@ -102,24 +106,24 @@
     val pendingSubmissions: Int,
     val pendingCancellations: Int,
     val revision: Long,
-    /** Share-seconds of each team's dominant resource within the window. */
+    /** Use of each team's dominant resource within the sliding window of the usage accounting, in share-seconds. */
     val use: Map<String, Double>,
-    /** Latency of the state service in milliseconds by percentile, over all answered requests. */
+    /** Latency of the state store in milliseconds by percentile, over all answered requests. */
     val stateLatencyMs: Map<String, Double>,
-    /** Jobs that wait for others to be done. */
+    /** Number of jobs that wait for predecessors. */
     val waitingForPredecessors: Int,
-    /** Jobs withdrawn with one that they need, whose own records do not show it yet. */
+    /** Number of jobs cancelled because a predecessor was, whose own records do not show the cancellation yet. */
     val withdrawnJobs: Int,
-    /** In which format records are written: `verbose` while a controller may read nothing newer. */
+    /** Format in which records are written: `verbose` while some controller may be unable to read a newer one. */
     val recordFormat: String,
-    /** The newest record format that each controller has announced. */
+    /** Level of the newest record format that each controller has announced. */
     val formatLevels: Map<String, Int>,
     val limits: StatusLimits,
-    /** Transactions that the state service found too large since the start. */
+    /** Number of transactions that the state store has rejected as too large since this controller was started. */
     val tooLargeTransactions: Long,
 )
 
-/** Limits of the state service that the controllers keep to, in [NodeStatus]: rates per second for the whole cluster. */
+/** Limits of the state store in [NodeStatus], which the controllers observe; rates are per second for the whole cluster. */
 @Serializable
 data class StatusLimits(
     val changesPerSecond: Double,
--- a/src/main/kotlin/mintpick/wire/Records.kt
+++ b/src/main/kotlin/mintpick/wire/Records.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** `stage` in a [JobRecord] in the state service; what users are answered is a [JobStage]. */
+/** Stage of a job in its [JobRecord] in the state store (`stage`). Answers to users hold a [JobStage] instead. */
 @Serializable
 enum class StoredStage {
     @SerialName("open")
@@ -17,25 +17,25 @@
 }
 
 /**
- * Value of a chunk's key in the state service: the tasks of one chunk of a job.
+ * Value of a chunk's key in the state store: the tasks of one chunk of a job.
  *
- * [placed] maps a machine to pairs (task, attempt); [done] holds inclusive ranges; [attempts] holds pairs (task, last
- * attempt) of waiting tasks that have been placed before.
+ * [placed] maps a machine to pairs (task, attempt). [done] holds ranges of tasks as pairs (first, last), both inclusive.
+ * [attempts] holds pairs (task, last attempt) of waiting tasks that have been placed before.
  */
 @Serializable
 data class ChunkRecord(
     @SerialName("p") val placed: Map<String, List<Int>> = emptyMap(),
     @SerialName("d") val done: List<Int> = emptyList(),
     @SerialName("a") val attempts: List<Int> = emptyList(),
-    /** All of the above in a compact form, which stands alone. */
+    /** All tasks in compact form; if present, the other fields are not used. */
     @SerialName("c") val compact: String? = null,
 )
 
 /**
- * Value of a job's key in the state service, its main record.
+ * Value of a job's key in the state store: the job's main record.
  *
- * A final one has neither [spec] nor [chunk]. A large specification is kept in so many records of its own as [specPieces]
- * says. [submittedUs] is in microseconds of the time of day.
+ * A final record has neither [spec] nor [chunk]. A large specification is stored separately, in [specPieces] records.
+ * [submittedUs] is in microseconds of the wall clock.
  */
 @Serializable
 data class JobRecord(
@@ -46,25 +46,25 @@
     val chunk: ChunkRecord? = null,
     @SerialName("sp") val specPieces: Int? = null,
 ) {
-    /** Whether the job is over and none of its tasks is left. */
+    /** Whether the job is done or cancelled and no machine has a task of it. */
     val isFinal: Boolean get() = spec == null && specPieces == null
 }
 
 /**
- * Value of a shard's machine list in the state service: the machines that have reported.
+ * Value of a piece of a machine list in the state store: machines that have sent a heartbeat.
  *
- * One record holds many of them, since a change of a third of a fleet must not cost a write for each machine. [retiring]
- * names those that are to be released.
+ * One record holds many machines, because a change of a third of the fleet must not require a write for each machine.
+ * [retiring] holds the machines that will be released.
  */
 @Serializable
 data class FleetRecord(
     @SerialName("g") val groups: List<FleetGroup> = emptyList(),
     @SerialName("r") val retiring: Map<String, Retiring> = emptyMap(),
-    /** All of the above in a compact form, which stands alone. */
+    /** All machines in compact form; if present, the other fields are not used. */
     @SerialName("c") val compact: String? = null,
 )
 
-/** Machines of one type, zone and kind in a [FleetRecord]; [machines] maps each one's name to its address. */
+/** Machines with the same type, zone and [spot] value in a [FleetRecord]; [machines] maps names to addresses. */
 @Serializable
 data class FleetGroup(
     @SerialName("t") val type: String,
@@ -73,7 +73,7 @@
     @SerialName("m") val machines: Map<String, String>,
 )
 
-/** Value of a claim in the state service, of a shard, a borrowed machine or the leadership: [node] holds it with [lease]. */
+/** Claim of a shard, a borrowed machine or the leadership in the state store; [node] is its owner, with [lease]. */
 @Serializable
 data class ClaimRecord(
     val node: String,
@@ -81,8 +81,8 @@
 )
 
 /**
- * Value of a controller's own key in the state service, attached to its [lease]; [since] is the time of day in microseconds
- * at which it was written.
+ * Value of a controller's own key in the state store, attached to its [lease]. [since] is the wall-clock time in microseconds
+ * at which the record was written.
  */
 @Serializable
 data class NodeRecord(
@@ -91,7 +91,7 @@
     val since: Long,
 )
 
-/** A machine that has reported, which earlier versions stored under a key of its own; [retiring] once it is to be released. */
+/** Machine that has sent a heartbeat. Only earlier versions store this record, under the machine's own key. */
 @Serializable
 data class MachineRecord(
     val type: String,
@@ -101,26 +101,26 @@
     val retiring: Retiring = Retiring.NO,
 )
 
-/** Whether a machine is to be released, in a [FleetRecord] or [MachineRecord]. */
+/** Whether and how a machine will be released, in a [FleetRecord] or [MachineRecord]. */
 @Serializable
 enum class Retiring {
     @SerialName("no")
     NO,
 
-    /** Takes nothing new; released once it is empty. */
+    /** Draining: receives no new tasks, released once it is empty. */
     @SerialName("drain")
     DRAIN,
 
-    /** Lost or faulty: released at once. */
+    /** Lost or faulty: released immediately. */
     @SerialName("now")
     NOW,
 }
 
 /**
- * Value of a controller's format key in the state service: the newest record format that it reads.
+ * Value of a controller's format key in the state store: the [level] of the newest record format that the controller reads.
  *
- * It is never removed, so that a controller that is away for a while still counts with what it reads; without one it
- * reads only the oldest.
+ * The record is never removed, because a controller that is temporarily absent must still be able to read the records when
+ * it returns. A controller without this record reads only the oldest format.
  */
 @Serializable
 data class FormatRecord(
@@ -128,8 +128,8 @@
 )
 
 /**
- * Value of a team's key in the state service: what its tasks take. Every placement of a team with a limit changes it, so
- * that two controllers never both take the last room.
+ * Value of a team's key in the state store: the resources of the team's tasks. Every placement of a team with a limit writes
+ * this record, which prevents two controllers from both using the last free part of the limit.
  */
 @Serializable
 data class ReservationRecord(
@@ -138,8 +138,9 @@
 )
 
 /**
- * Value of a controller's usage key in the state service: dominant-resource use by team on its machines, in share-seconds
- * per time slot. In each slot the teams follow one another as in the settings, from the one numbered [firstTeam] on.
+ * Value of a controller's usage key in the state store: dominant-resource use by team on the controller's machines, in
+ * share-seconds per time slot. Each slot lists the teams in the order of the settings, starting at index [firstTeam]; null
+ * means 0.
  */
 @Serializable
 data class UsageRecord(
--- a/src/main/kotlin/mintpick/wire/StateApi.kt
+++ b/src/main/kotlin/mintpick/wire/StateApi.kt
@@ -4,7 +4,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonElement
 
-/** One of `guards` of a [Transaction]: [key] must have [version] (`stamp`); 0: it must not exist. */
+/** Precondition of a [Transaction], one of `guards`: [key] must have [version] (`stamp`); 0: the key must not exist. */
 @Serializable
 data class Guard(
     val key: String,
@@ -12,8 +12,8 @@
 )
 
 /**
- * One of `apply` of a [Transaction]: either a put of [value] under the key [put] (`write`, `v`), attached to [lease] (`tenure`)
- * if there is one, or the deletion of the key [delete] (`drop`).
+ * Change in a [Transaction], one of `apply`. Either stores [value] (`v`) under the key [put] (`write`), attached to [lease]
+ * (`tenure`) unless that is null, or deletes the key [delete] (`drop`).
  */
 @Serializable
 data class Change(
@@ -30,14 +30,14 @@
     @SerialName("apply") val changes: List<Change>,
 )
 
-/** The state service's answer to `POST /multi`: the [revision] (`ledger_rev`), and with 409 the keys whose guards [failed]. */
+/** The state store's answer to `POST /multi`: the [revision] (`ledger_rev`), and with 409 the keys whose guards [failed]. */
 @Serializable
 data class TransactionAnswer(
     @SerialName("ledger_rev") val revision: Long,
     val failed: List<String> = emptyList(),
 )
 
-/** One of `pairs` in an [ItemPage]; [version] (`stamp`) is the revision at which the key last changed. */
+/** Key and value, one of `pairs` in an [ItemPage]; [version] (`stamp`) is the revision at which the key last changed. */
 @Serializable
 data class StoredItem(
     val key: String,
@@ -45,7 +45,7 @@
     @SerialName("stamp") val version: Long,
 )
 
-/** The state service's answer to `GET /keys`: items ordered by key; with [hasMore] (`has_next`) others follow after the last. */
+/** The state store's answer to `GET /keys`: a page of items ordered by key. [hasMore] (`has_next`): another page follows. */
 @Serializable
 data class ItemPage(
     @SerialName("pairs") val items: List<StoredItem>,
@@ -53,7 +53,7 @@
     @SerialName("ledger_rev") val revision: Long,
 )
 
-/** One of `log` in an [EventPage]: a put of [value] under the key [put] (`write`, `v`), or the deletion of [delete] (`drop`). */
+/** Event, one of `log` in an [EventPage]: [value] (`v`) was stored under the key [put] (`write`), or [delete] (`drop`) was deleted. */
 @Serializable
 data class StateEvent(
     @SerialName("write") val put: String? = null,
@@ -62,20 +62,20 @@
     @SerialName("stamp") val version: Long,
 )
 
-/** The state service's answer to `GET /follow`, which watches a prefix: what changed up to [revision] (`ledger_rev`). */
+/** The state store's answer to `GET /follow`, which watches a prefix: the changes up to [revision] (`ledger_rev`). */
 @Serializable
 data class EventPage(
     @SerialName("ledger_rev") val revision: Long,
     @SerialName("log") val events: List<StateEvent> = emptyList(),
 )
 
-/** Body of `POST /leases`: a lease of [ttlMs] milliseconds. */
+/** Body of `POST /leases`: requests a lease that expires after [ttlMs] milliseconds without renewal. */
 @Serializable
 data class LeaseRequest(
     @SerialName("ttl_ms") val ttlMs: Long,
 )
 
-/** The state service's answer to `POST /leases`: the new [lease] (`tenure`). */
+/** The state store's answer to `POST /leases`: the new [lease] (`tenure`). */
 @Serializable
 data class LeaseAnswer(
     @SerialName("tenure") val lease: Long,
--- a/src/main/kotlin/mintpick/wire/Submission.kt
+++ b/src/main/kotlin/mintpick/wire/Submission.kt
@@ -9,10 +9,10 @@
 import kotlinx.serialization.json.longOrNull
 
 /**
- * A submission that breaks the format.
+ * Thrown for a malformed submission. The message names the field of the protocol.
  *
- * The message names the protocol's field; [id] is the job's id as far as that could be read, since a job that was
- * accepted stays so whatever its submission looks like when it is repeated.
+ * [id] is the job's id if it could be read. A job that was accepted remains accepted even if its submission is repeated in a
+ * malformed form, and the id identifies such a repetition.
  */
 class MalformedException(
     message: String,
@@ -20,15 +20,15 @@
     cause: Throwable? = null,
 ) : Exception(message, cause)
 
-/** Longest name, in characters. */
+/** Maximum length of a name, in characters. */
 private const val MAX_NAME_LENGTH = 200
 
 /**
- * Reads the body of `POST /api/jobs`. The serializer alone would take `"16"` for a number and 1e400 for a duration,
- * so every field is checked by hand before it becomes a [JobSpec].
+ * Parses the body of `POST /api/jobs`. The serializer alone would accept `"16"` as a number and 1e400 as a duration.
+ * Therefore each field is validated explicitly before a [JobSpec] is built.
  */
 object Submission {
-    /** Most tasks that one job may have (`pieces`). */
+    /** Maximum number of tasks of a job (`pieces`). */
     const val MAX_TASKS = 100_000
     private val ID = Regex("req-[0-9]{1,17}")
 
@@ -36,9 +36,9 @@
     fun isJobId(text: String): Boolean = ID.matches(text)
 
     /**
-     * The job that [body] describes.
+     * Parses the job specification in [body].
      *
-     * @throws MalformedException if it is no JSON object, or if a field is missing or invalid
+     * @throws MalformedException if [body] is not a JSON object, or if a field is missing or invalid
      */
     fun parse(body: String): JobSpec {
         val root =
@@ -53,7 +53,7 @@
     }
 }
 
-/** The fields of a submission [root], each checked by hand. */
+/** Reads and validates the fields of the submission [root]. */
 private class SubmissionFields(
     private val root: JsonObject,
 ) {
--- a/src/main/kotlin/mintpick/wire/UserApi.kt
+++ b/src/main/kotlin/mintpick/wire/UserApi.kt
@@ -3,23 +3,23 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** `shape` of a submission (`POST /api/jobs`): how the tasks of a job belong together. */
+/** Kind of a job (`shape` of a submission, `POST /api/jobs`): how its tasks relate to each other. */
 @Serializable
 enum class JobKind {
-    /** Independent tasks, each runs to completion. */
+    /** Independent tasks, each of which runs to completion. */
     @SerialName("array")
     ARRAY,
 
-    /** Replicas, which run until the job is cancelled. */
+    /** Replicas that run until the job is cancelled. */
     @SerialName("daemon")
     SERVICE,
 
-    /** Tasks that only run together. Not described for today's deployments: see docs/questions.md. */
+    /** Tasks that only run together. Not specified for current deployments, see docs/questions.md. */
     @SerialName("ensemble")
     GANG,
 }
 
-/** `rank` of a submission (`POST /api/jobs`), from the most to the least urgent. */
+/** Priority of a job (`rank` of a submission, `POST /api/jobs`), from the highest to the lowest. */
 @Serializable
 enum class Priority {
     @SerialName("prod")
@@ -36,10 +36,11 @@
 }
 
 /**
- * Body of `POST /api/jobs`, and the same form within the job's own record. [Submission] reads it from a user's request.
+ * Specification of a job: body of `POST /api/jobs`, and part of the job's record. [Submission] parses it from a user's request.
  *
- * [cpus], [gpus] and [memoryGb] are what each task takes; a name that ends in S is a duration in seconds, and
- * [deadlineS] counts from the submission. [checkpointIntervalS] is 0 for tasks that never save, [estimateS] is 0 for services.
+ * [cpus], [gpus] and [memoryGb] are the resources of each task. Properties whose names end in S are durations in seconds;
+ * [deadlineS] counts from the submission. [checkpointIntervalS] is 0 for tasks without checkpoints, [checkpointDurationS] is
+ * the time that saving a checkpoint takes, and [estimateS] is 0 for services.
  */
 @Serializable
 data class JobSpec(
@@ -63,11 +64,11 @@
     @SerialName("mark_every_s") val checkpointIntervalS: Double,
     @SerialName("mark_cost_s") val checkpointDurationS: Double,
     @SerialName("due_s") val deadlineS: Double? = null,
-    /** Jobs that must be done before any task of this one starts, each once; null: none. */
+    /** Jobs that must be done before any task of this one starts, without duplicates; null if there are none. */
     @SerialName("waits_on") val predecessors: List<String>? = null,
 )
 
-/** `stage` of a job in answers to users; what is stored is a [StoredStage]. */
+/** Stage of a job in answers to users (`stage`). Job records hold a [StoredStage] instead. */
 @Serializable
 enum class JobStage {
     @SerialName("queued")
@@ -99,7 +100,7 @@
     val running: Int,
 )
 
-/** Body of every answer to users, workers and controllers that is a refusal; [error] says what was wrong. */
+/** Body of an answer that rejects a request of a user, an agent or a controller; [error] is the reason. */
 @Serializable
 data class ErrorAnswer(
     val error: String,
--- a/src/main/kotlin/mintpick/wire/Wire.kt
+++ b/src/main/kotlin/mintpick/wire/Wire.kt
@@ -2,7 +2,10 @@
 
 import kotlinx.serialization.json.Json
 
-/** The JSON dialect of every interface to the outside: unknown fields ignored, nulls may be left out. */
+/**
+ * JSON configuration of all external interfaces and stored records. Unknown fields are ignored; null fields are omitted when
+ * written and optional when read.
+ */
 val WireJson: Json =
     Json {
         ignoreUnknownKeys = true
@@ -10,23 +13,23 @@
         encodeDefaults = true
     }
 
-/** Largest request body that any interface accepts. */
+/** Maximum size of a request body, for all interfaces. */
 const val MAX_BODY_BYTES: Int = 64 * 1024
 
-/** Paths that the controllers serve to users and workers, and paths of the workers that the controllers call. */
+/** Paths that controllers serve to users and agents, and paths of the agents that controllers request. */
 object Paths {
-    /** Submissions; polls and cancellations are below it. */
+    /** Submissions. Paths below it serve polls and cancellations. */
     const val JOBS = "/api/jobs"
 
     /** The load balancer's health check. */
     const val HEALTH = "/up"
 
-    /** Reports of the workers. */
+    /** Heartbeats of the agents. */
     const val HEARTBEAT = "/checkin"
 
-    /** Served by a worker: direct commands. */
+    /** Served by an agent: direct commands. */
     const val COMMANDS = "/commands"
 
-    /** Served by a worker: its report on demand. */
+    /** Served by an agent: its current heartbeat on request. */
     const val INSPECT = "/inspect"
 }
--- a/src/test/kotlin/mintpick/config/OperatorsFileTest.kt
+++ b/src/test/kotlin/mintpick/config/OperatorsFileTest.kt
@@ -10,12 +10,12 @@
 
 class OperatorsFileTest {
     @Test
-    fun `the example holds the defaults`() {
+    fun `the example file contains the defaults`() {
         assertEquals(Operators(), OperatorsFile.load(Path.of("docs/examples/operators.yaml")))
     }
 
     @Test
-    fun `a nested tree is read`() {
+    fun `a nested share tree is parsed`() {
         val read =
             OperatorsFile.parse(
                 "window_s: 120\nshares:\n  - name: g\n    weight: 3\n    members:\n      - {name: a, weight: 2}\n  - {name: b}\n",
@@ -26,7 +26,7 @@
     }
 
     @Test
-    fun `faults end in one line that names key or line`() {
+    fun `an invalid file is refused with one line that names the key or the line`() {
         val faults =
             mapOf(
                 "window_s: -5" to "window_s",
@@ -50,4 +50,16 @@
         }
         assertThrows(ConfigException::class.java) { OperatorsFile.load(Path.of("docs/examples/missing.yaml")) }
     }
+
+    @Test
+    fun `the message for an invalid value contains key, value and accepted range`() {
+        val messages =
+            mapOf(
+                "window_s: -5" to "operators: window_s: -5.0 must be from 60.0 to 2592000.0",
+                "shares:\n  - {name: \"a\\nb\", weight: -1}" to "operators: shares: \"a b\": weight: -1.0 must be from 1.0E-6 to 1.0E9",
+            )
+        for ((text, message) in messages) {
+            assertEquals(message, assertThrows(ConfigException::class.java, { OperatorsFile.parse(text) }, text).message)
+        }
+    }
 }
--- a/src/test/kotlin/mintpick/core/BootTimesTest.kt
+++ b/src/test/kotlin/mintpick/core/BootTimesTest.kt
@@ -9,7 +9,7 @@
     private val kind = BootKind("small", "north")
 
     @Test
-    fun `single machines that are late change nothing`() {
+    fun `a minority of overdue machines hardly changes the timeouts`() {
         val times = BootTimes()
         val before = times.replaceAfterMultiple(kind) to times.releaseAfterMultiple(kind)
         repeat(4) { times.recordBoot(kind, 1.1) }
@@ -20,7 +20,7 @@
     }
 
     @Test
-    fun `a kind that boots late is waited for longer, up to a bound, and others are not`() {
+    fun `a slow kind gets longer timeouts up to a limit, and other kinds do not`() {
         val times = BootTimes()
         val usual = times.replaceAfterMultiple(kind)
         repeat(40) { times.recordOverdue(kind) }
@@ -32,7 +32,7 @@
     }
 
     @Test
-    fun `a kind that boots in time again is trusted again`() {
+    fun `a kind that boots in time again is no longer slow`() {
         val times = BootTimes()
         repeat(9) { times.recordOverdue(kind) }
         repeat(5) { times.recordBoot(kind, 0.9) }
--- a/src/test/kotlin/mintpick/core/ChunkTest.kt
+++ b/src/test/kotlin/mintpick/core/ChunkTest.kt
@@ -12,7 +12,7 @@
     private val machines = (1..4).map { MachineId("host-$it") }
 
     @Test
-    fun `random lives keep every task in one state, raise attempts, and survive storing`() {
+    fun `random edits keep every task in one state, increase attempts, and survive encoding`() {
         val random = SplittableRandom(7)
         repeat(200) {
             var chunk = Chunk.empty(1 + random.nextInt(Job.TASKS_PER_CHUNK))
@@ -25,7 +25,7 @@
                     at == null && chunk.isWaiting(task) -> {
                         chunk = chunk.place(task, machines[random.nextInt(machines.size)])
                         val attempt = chunk.placed.getValue(task).attempt
-                        assertTrue(attempt > (attempts[task] ?: 0), "attempts must rise")
+                        assertTrue(attempt > (attempts[task] ?: 0), "attempts must increase")
                         attempts[task] = attempt
                     }
                     at != null && random.nextBoolean() -> chunk = chunk.requeue(task, at)
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `a proof of an older attempt moves nothing`() {
+    fun `requeueing an older attempt has no effect`() {
         val first = Chunk.empty(2).place(0, machines[0])
         val old = first.placed.getValue(0)
         val second = first.requeue(0, old).place(0, machines[1])
--- a/src/test/kotlin/mintpick/core/FailureTrackerTest.kt
+++ b/src/test/kotlin/mintpick/core/FailureTrackerTest.kt
@@ -17,7 +17,7 @@
     private fun machine(n: Int) = MachineId("host-%06d".format(n))
 
     @Test
-    fun `a job that fails on several machines is at fault and its machines are not`() {
+    fun `a job that fails on several machines is faulty and the machines are not`() {
         val tracker = FailureTracker()
         for (n in 1..3) for (m in 1..5) tracker.recordFailure(machine(m), job(n), hasSucceeded = false, now = 0)
         assertEquals((1..3).map(::job).toSet(), tracker.faultyJobs().toSet())
@@ -27,7 +27,7 @@
     }
 
     @Test
-    fun `a machine on which several jobs fail is at fault and the jobs are not`() {
+    fun `a machine on which several jobs fail is faulty and the jobs are not`() {
         val tracker = FailureTracker()
         (1..2).forEach { tracker.recordFailure(machine(1), job(it), hasSucceeded = false, now = 0) }
         assertFalse(tracker.isFaulty(machine(1)))
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `a job that succeeds is not at fault, on however many machines it fails`() {
+    fun `a job that has succeeded is not faulty, even if it fails on many machines`() {
         val tracker = FailureTracker()
         (1..6).forEach { tracker.recordFailure(machine(it), job(1), hasSucceeded = true, now = 0) }
         assertFalse(tracker.isFaulty(job(1)))
@@ -48,7 +48,7 @@
     }
 
     @Test
-    fun `tasks that fail together are one retry, and each retry waits twice as long up to a bound`() {
+    fun `tasks that fail together count as one retry, and the backoff doubles up to a limit`() {
         val tracker = FailureTracker()
         var now: Micros = 1
         var before: Micros = 0
@@ -63,9 +63,9 @@
         assertEquals(30 * SECOND, before)
     }
 
-    /** Whatever mixture of faulty jobs and machines: blame falls on none that is sound, once all have been tried everywhere. */
+    /** With any combination of faulty jobs and machines, exactly these are found after every job has run on every machine. */
     @Test
-    fun `sound jobs and machines are not blamed`(): Unit =
+    fun `only faulty jobs and machines are found to be faulty`(): Unit =
         runBlocking {
             val distinct = Arb.list(Arb.int(0..19), 0..4)
             checkAll(PropTestConfig(seed = 7, iterations = 200), distinct, distinct) { faultyJobs, faultyMachines ->
@@ -86,13 +86,12 @@
                     }
                 }
                 assertEquals(faultyJobs.map(::job).toSet(), tracker.faultyJobs().toSet())
-                val blamed = tracker.faultyMachines().toSet()
-                assertEquals(faultyMachines.map(::machine).toSet(), blamed)
+                assertEquals(faultyMachines.map(::machine).toSet(), tracker.faultyMachines().toSet())
             }
         }
 
     @Test
-    fun `what is over is forgotten`() {
+    fun `data of closed jobs and unknown machines is removed`() {
         val tracker = FailureTracker()
         (1..3).forEach { tracker.recordFailure(machine(it), job(1), hasSucceeded = false, now = 0) }
         (2..4).forEach { tracker.recordFailure(machine(9), job(it), hasSucceeded = false, now = 0) }
--- a/src/test/kotlin/mintpick/core/FairShareTest.kt
+++ b/src/test/kotlin/mintpick/core/FairShareTest.kt
@@ -21,13 +21,13 @@
         }
 
     @Test
-    fun `at every level the branch with the lowest use against its share goes first`() {
+    fun `at every level the branch with the lowest ratio of usage to weight comes first`() {
         val random = SplittableRandom(3)
         repeat(300) {
             val root = ShareNode.Group("root", 1.0, List(3) { randomTree(random, 3, "t$it") })
             val tree = ShareTree(root)
             val use = root.teams().associateWith { random.nextDouble() * 100 }
-            // Walk down by hand: the first team must be the one that the level-by-level rule finds.
+            // Independent descent level by level, which must find the team that the comparison puts first.
             var node: ShareNode = root
             while (node is ShareNode.Group) {
                 node = node.children.minBy { child -> child.teams().sumOf(use::getValue) / child.weight }
@@ -38,7 +38,7 @@
     }
 
     @Test
-    fun `the window forgets what is older than its length`() {
+    fun `usage older than the window expires`() {
         val window = UsageWindow(600 * SECOND, 60 * SECOND)
         window.add("a", 5.0, 0)
         window.add("a", 3.0, 500 * SECOND)
--- a/src/test/kotlin/mintpick/core/MachineViewTest.kt
+++ b/src/test/kotlin/mintpick/core/MachineViewTest.kt
@@ -24,7 +24,7 @@
     private fun view() = MachineView(MachineId("m"), 0)
 
     @Test
-    fun `an older message never replaces a newer one`() {
+    fun `an older status never replaces a newer one`() {
         val view = view()
         assertTrue(view.applyStatus(status(7), 1, isResponse = false))
         assertFalse(view.applyStatus(status(6), 2, isResponse = false))
@@ -34,7 +34,7 @@
     }
 
     @Test
-    fun `absence proves nothing while an earlier controller's start may be on its way`() {
+    fun `a missing attempt proves nothing while a start of an earlier controller may still arrive`() {
         val view = view()
         view.applyStatus(status(1, token = 4), 1, isResponse = false)
         assertEquals(Proof.None, view.proof(attempt, 5))
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `a start without an answer blocks proof and forgetting until the token or the session rises`() {
+    fun `a start that timed out prevents proof and forgetting until the token or the agent epoch increases`() {
         for ((token, agentEpoch) in listOf(6L to 1L, 5L to 2L)) {
             val view = view()
             view.applyStatus(status(1), 1, isResponse = false)
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `a start sent with an answer is under way until the next report`() {
+    fun `a start in a heartbeat response may arrive until the next heartbeat`() {
         val view = view()
         view.applyStatus(status(1), 1, isResponse = false)
         view.recordStartsInResponse(setOf(attempt))
@@ -71,7 +71,7 @@
     }
 
     @Test
-    fun `completion counts whatever the token`() {
+    fun `completion is proven with any token`() {
         val view = view()
         view.applyStatus(status(1, 1, 1, exited(ExitCause.DONE)), 1, isResponse = false)
         assertEquals(Proof.Completed, view.proof(attempt, 9))
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `images give way to newer ones as the cache fills`() {
+    fun `the oldest images are evicted when the cache is full`() {
         val view = view()
         view.recordImage("a", 2.0, 5.0)
         view.recordImage("b", 2.0, 5.0)
@@ -89,28 +89,28 @@
     }
 
     @Test
-    fun `a lease has lapsed only if nobody's answer can have renewed it`() {
+    fun `a lease has expired only if no controller's response can have renewed it`() {
         val lease = 18 * SECOND
         val late = 40 * SECOND
         val view = view()
         view.applyStatus(status(1, token = 4), SECOND, isResponse = false)
         view.recordHeartbeatResponse(SECOND)
-        assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "an earlier controller's lower token still counts with the worker")
+        assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "the agent still accepts the lower token of an earlier controller")
         view.applyStatus(status(2, token = 5), 2 * SECOND, isResponse = false)
         view.recordHeartbeatResponse(2 * SECOND)
         assertTrue(view.hasLeaseExpired(late, 0, 5, lease))
-        assertFalse(view.hasLeaseExpired(late, 3 * SECOND, 5, lease), "before it was ours others may have answered")
+        assertFalse(view.hasLeaseExpired(late, 3 * SECOND, 5, lease), "other controllers may have responded before control began")
         assertFalse(view.hasLeaseExpired(20 * SECOND, 0, 5, lease), "too early")
         view.applyStatus(status(3, token = 5), 30 * SECOND, isResponse = false)
-        assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "heard since")
+        assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "a newer status was received")
     }
 
     /**
-     * The answer to a report is held up for seconds, a direct start of the same attempt runs and is stopped: once
-     * forgotten, the start in the late answer would run it again.
+     * The response to a heartbeat is delayed by seconds. Meanwhile the same attempt is started by a direct command and stopped. If
+     * the agent forgot the attempt then, the start in the late response would run it again.
      */
     @Test
-    fun `an attempt is not forgotten while its start may be under way in an answer`() {
+    fun `an attempt is not forgotten while its start may still arrive in a heartbeat response`() {
         val view = view()
         view.applyStatus(status(1), 1, isResponse = false)
         view.recordStartsInResponse(setOf(attempt))
@@ -121,11 +121,11 @@
     }
 
     /**
-     * The last answer before a worker reached nobody held a start. In its next session it drops that answer, so what
-     * was cancelled there comes to its end before reports get through again.
+     * The last response before an agent became unable to send heartbeats contained a start. In its next epoch the agent drops that
+     * response, so the end of a cancelled task is proven before heartbeats are delivered again.
      */
     @Test
-    fun `a start in an answer is over with the session`() {
+    fun `a start in a heartbeat response is void after the agent epoch increases`() {
         val view = view()
         view.applyStatus(status(1), 1, isResponse = false)
         view.recordStartsInResponse(setOf(attempt))
@@ -135,9 +135,9 @@
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
-    /** A start is lost, and its repetition with the same token is answered: the first may still be carried out. */
+    /** A start times out, and the same start with the same token is answered: the first one may still be executed. */
     @Test
-    fun `an answered repetition does not settle a start that was lost`() {
+    fun `the response to a repeated start does not resolve a start that timed out`() {
         val view = view()
         view.applyStatus(status(1), 1, isResponse = false)
         view.recordStartSent(attempt, 5, 1)
--- a/src/test/kotlin/mintpick/core/PlacerTest.kt
+++ b/src/test/kotlin/mintpick/core/PlacerTest.kt
@@ -24,7 +24,7 @@
         }
 
     @Test
-    fun `placements respect room, kind and zones`() {
+    fun `placements respect free capacity, spot rules and zones`() {
         val random = SplittableRandom(11)
         repeat(400) { round ->
             val machines = randomMachines(random)
@@ -54,10 +54,10 @@
     }
 
     @Test
-    fun `what does not fit is rented at the least cost for each task`() {
+    fun `the offer with the lowest cost per task is rented for tasks without free capacity`() {
         val types =
             listOf(
-                mintpick.wire.MachineType("dear", 16.0, 0.0, 64.0, price = 4.0, spotPrice = 2.0, zones = listOf("north", "south")),
+                mintpick.wire.MachineType("expensive", 16.0, 0.0, 64.0, price = 4.0, spotPrice = 2.0, zones = listOf("north", "south")),
                 mintpick.wire.MachineType("cheap", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north", "south")),
             ).associateBy { it.name }
         val scaleOutPlanner = ScaleOutPlanner(types, listOf("north", "south")) { true }
@@ -85,7 +85,7 @@
     }
 
     @Test
-    fun `batch work on ordinary machines is no reason to rent more of them for services`() {
+    fun `services count preemptible batch work on on-demand machines as capacity`() {
         val types =
             listOf(
                 mintpick.wire.MachineType("small", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north")),
@@ -104,9 +104,9 @@
         )
     }
 
-    /** Room kept for batch work that may come back once held hundreds of dear machines for a minute after each peak. */
+    /** Capacity kept for expected batch work retained hundreds of expensive machines for a minute after each peak. */
     @Test
-    fun `expected batch work keeps no ordinary machine`() {
+    fun `expected batch work keeps no on-demand machine`() {
         val types =
             listOf(
                 mintpick.wire.MachineType("small", 8.0, 0.0, 32.0, price = 1.0, spotPrice = 0.2, zones = listOf("north")),
@@ -130,9 +130,9 @@
         )
     }
 
-    /** Fuller machines of the zone that already holds its share once hid the other zone from a job that spreads. */
+    /** The search found only the fuller machines of a zone that already had its share of a spread job, and missed the other zone. */
     @Test
-    fun `a spread job finds the zone that has just come back`() {
+    fun `a spread job finds the zone whose machines are all empty`() {
         val total = Resources(16.0, 0.0, 64.0)
         val machines =
             List(80) {
--- a/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
+++ b/src/test/kotlin/mintpick/core/PreemptionPolicyTest.kt
@@ -29,7 +29,7 @@
         }
 
     @Test
-    fun `a funded task inside its window is never a victim`(): Unit =
+    fun `a funded task within its minimum runtime is never a victim`(): Unit =
         runBlocking {
             checkAll(config, victims, preemptors) { victim, preemptor ->
                 if (victim.isFunded && !victim.isPastMinimumRuntime) assertFalse(PreemptionPolicy.isPreempted(victim, preemptor))
@@ -37,7 +37,7 @@
         }
 
     @Test
-    fun `unallocated work yields to every funded request that the platform lets stop it`(): Unit =
+    fun `unallocated work is preempted for every funded request that the platform's rules allow`(): Unit =
         runBlocking {
             checkAll(config, victims, preemptors) { victim, preemptor ->
                 val allowed = preemptor.priority < victim.priority || preemptor.team != victim.team
@@ -46,7 +46,7 @@
         }
 
     @Test
-    fun `nothing yields to unallocated requests but services before batch work`(): Unit =
+    fun `an unallocated request preempts nothing, except a service batch work`(): Unit =
         runBlocking {
             checkAll(config, victims, preemptors) { victim, preemptor ->
                 val service = preemptor.priority == Priority.PRODUCTION && victim.priority != Priority.PRODUCTION
@@ -55,7 +55,7 @@
         }
 
     @Test
-    fun `expired funded work yields only from a team over share to one that is not`(): Unit =
+    fun `funded work past its minimum runtime is preempted only if its team is over share and the preemptor's is not`(): Unit =
         runBlocking {
             checkAll(config, victims, preemptors) { victim, preemptor ->
                 if (victim.isFunded && PreemptionPolicy.isPreempted(victim, preemptor)) {
--- a/src/test/kotlin/mintpick/engine/capacity/ClassDemandTest.kt
+++ b/src/test/kotlin/mintpick/engine/capacity/ClassDemandTest.kt
@@ -9,20 +9,20 @@
     private val demand = ClassDemand(SampleJobs.spec(tasks = 2))
 
     @Test
-    fun `the peak is forgotten once it is older than the memory, the current demand is the latest sample`() {
+    fun `the peak covers samples within the retention time, and the current demand is the latest sample`() {
         assertEquals(0, demand.currentTasks)
         assertEquals(0, demand.peakTasks)
-        demand.addSample(DemandSample(0, 9), MEMORY)
-        demand.addSample(DemandSample(MEMORY, 4), MEMORY)
+        demand.addSample(DemandSample(0, 9), RETENTION)
+        demand.addSample(DemandSample(RETENTION, 4), RETENTION)
         assertEquals(4, demand.currentTasks)
         assertEquals(9, demand.peakTasks)
-        demand.addSample(DemandSample(MEMORY + 1, 3), MEMORY)
+        demand.addSample(DemandSample(RETENTION + 1, 3), RETENTION)
         assertEquals(3, demand.currentTasks)
         assertEquals(4, demand.peakTasks)
     }
 
     @Test
-    fun `the largest job counts up to a bound and the latest job describes the class`() {
+    fun `the size of the largest job is capped, and the spec is that of the latest job`() {
         demand.observeJob(SampleJobs.spec(tasks = 7, cpus = 1.0))
         assertEquals(7, demand.largestJobTasks)
         demand.observeJob(SampleJobs.spec(tasks = 100, cpus = 2.0))
@@ -32,6 +32,6 @@
     }
 
     private companion object {
-        const val MEMORY = 60 * SECOND
+        const val RETENTION = 60 * SECOND
     }
 }
--- a/src/test/kotlin/mintpick/engine/capacity/DemandAggregationTest.kt
+++ b/src/test/kotlin/mintpick/engine/capacity/DemandAggregationTest.kt
@@ -20,24 +20,24 @@
         spotOnly = keepsToSpot,
     )
 
-    private fun merged(vararg demands: CapacityDemand): List<String> =
+    private fun aggregated(vararg demands: CapacityDemand): List<String> =
         aggregateDemands(demands.toList()).map { "${it.spec.id}:${it.spec.tasks}:${it.count}" }
 
     @Test
-    fun `jobs that need the same become one demand at the place of the first`() {
-        assertEquals(listOf("a:5:5", "b:1:1"), merged(demand("a", 2), demand("b", 1, cpus = 2.0), demand("c", 3)))
+    fun `demands with the same requirements become one demand at the position of the first`() {
+        assertEquals(listOf("a:5:5", "b:1:1"), aggregated(demand("a", 2), demand("b", 1, cpus = 2.0), demand("c", 3)))
     }
 
     @Test
-    fun `jobs whose tasks depend on each other's zones stay single`() {
+    fun `demands of jobs with zone rules across their tasks are not aggregated`() {
         val oneZone = listOf(demand("a", 2, oneZone = true), demand("b", 2, oneZone = true))
-        assertEquals(listOf("a:2:2", "b:2:2"), merged(*oneZone.toTypedArray()))
+        assertEquals(listOf("a:2:2", "b:2:2"), aggregated(*oneZone.toTypedArray()))
         val running = listOf(demand("a", 2, perZone = mapOf("north" to 1)), demand("b", 2, perZone = mapOf("north" to 1)))
-        assertEquals(listOf("a:2:2", "b:2:2"), merged(*running.toTypedArray()))
+        assertEquals(listOf("a:2:2", "b:2:2"), aggregated(*running.toTypedArray()))
     }
 
     @Test
-    fun `jobs that may use different machines are not merged`() {
-        assertEquals(listOf("a:2:2", "b:2:2"), merged(demand("a", 2), demand("b", 2, keepsToSpot = true)))
+    fun `demands that may use different machines are not aggregated`() {
+        assertEquals(listOf("a:2:2", "b:2:2"), aggregated(demand("a", 2), demand("b", 2, keepsToSpot = true)))
     }
 }
--- a/src/test/kotlin/mintpick/net/HttpCallerTest.kt
+++ b/src/test/kotlin/mintpick/net/HttpCallerTest.kt
@@ -10,7 +10,10 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.concurrent.thread
 
-/** Calls over real sockets to a server that does as it is told: the difference between the outcomes is what proofs rest on. */
+/**
+ * Calls over real sockets to a scripted server. The engine concludes from [Outcome.NotSent] that a request had no effect, so the
+ * outcomes must never be confused.
+ */
 class HttpCallerTest {
     private val outcomes = ArrayBlockingQueue<Outcome>(100)
     private val caller = HttpCaller { _, outcome -> outcomes.put(outcome) }
@@ -59,7 +62,7 @@
     private fun text(outcome: Outcome): String = (outcome as Outcome.Answered).text()
 
     @Test
-    fun `a connection serves one call after the other, until its server closes it`() {
+    fun `a connection is reused for successive calls until the server closes it`() {
         Server(2) { n -> "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n${if (n == 2) "Connection: close\r\n" else ""}\r\n#$n" }.use { server ->
             assertEquals(listOf("#1", "#2", "#3"), List(3) { text(call(server)) })
             assertEquals(2, server.connections.get())
@@ -67,7 +70,7 @@
     }
 
     @Test
-    fun `a chunked answer and one with an error status are read whole`() {
+    fun `a chunked answer and an answer with an error status are read completely`() {
         Server(2) { n ->
             if (n ==
                 1
@@ -83,9 +86,12 @@
         }
     }
 
-    /** Sent twice by the client itself, a start would outlive the proof that it was lost. */
+    /**
+     * If the client repeated a request to start a task by itself, the task could start after the engine has concluded that the first
+     * request was lost.
+     */
     @Test
-    fun `a call whose connection drops is not sent again, also on a connection that was kept`() {
+    fun `a call whose connection is closed is not sent again, even if the connection was reused`() {
         Server(2) { n -> if (n == 2) null else "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" }.use { server ->
             assertTrue(call(server) is Outcome.Answered)
             assertEquals(Outcome.Unanswered, call(server))
@@ -94,15 +100,15 @@
     }
 
     @Test
-    fun `a call that found no server was never sent, and a broken answer is none`() {
-        val gone = Server(2) { null }
-        gone.close()
-        assertEquals(Outcome.NotSent, call(gone))
+    fun `a call without server has the outcome NotSent, and one with a malformed answer Unanswered`() {
+        val stopped = Server(2) { null }
+        stopped.close()
+        assertEquals(Outcome.NotSent, call(stopped))
         Server(2) { "SSH-2.0 what\r\n\r\n\r\n close" }.use { assertEquals(Outcome.Unanswered, call(it)) }
     }
 
     @Test
-    fun `after the caller has stopped a call is not sent, and the connection that was kept is closed`() {
+    fun `stopping the caller closes idle connections, and later calls are not sent`() {
         ServerSocket(0, 50, InetAddress.getLoopbackAddress()).use { socket ->
             caller.start(1, Call(Target.Worker("127.0.0.1:${socket.localPort}"), "GET", "/inspect", timeoutUs = 5 * SECOND))
             socket.accept().use { connection ->
@@ -112,7 +118,7 @@
                 connection.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".encodeToByteArray())
                 assertTrue(outcomes.take() is Outcome.Answered)
                 caller.stop()
-                // Closed at once, it may be reset; a time-out would say that it is still open.
+                // An immediate close may reset the connection. A time-out would mean that it is still open.
                 val end = runCatching { input.read() }
                 assertTrue(end.getOrNull() == -1 || end.exceptionOrNull()?.message == "Connection reset", "$end")
             }
--- a/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
+++ b/src/test/kotlin/mintpick/store/CompactRecordsTest.kt
@@ -31,18 +31,21 @@
     private val valueBytes = 2_000
 
     @Test
-    fun `names of any form are read back as they were`(): Unit =
+    fun `encoded names of any form decode to the same names`(): Unit =
         runBlocking {
-            checkAll(config, Arb.list(Arb.string(0..12), 0..40), Arb.list(Arb.int(0..2_000_000_000), 0..40)) { odd, numbers ->
-                val names = CompactNames.ordered((odd + numbers.map { "host-$it" } + numbers.map { "host-%06d".format(it) }).toSet())
-                val to = VarintWriter().also { CompactNames.write(names, it) }
-                assertEquals(names, CompactNames.read(VarintReader(to.toByteArray())))
+            checkAll(config, Arb.list(Arb.string(0..12), 0..40), Arb.list(Arb.int(0..2_000_000_000), 0..40)) { arbitraryNames, numbers ->
+                val names =
+                    CompactNames.ordered(
+                        (arbitraryNames + numbers.map { "host-$it" } + numbers.map { "host-%06d".format(it) }).toSet(),
+                    )
+                val writer = VarintWriter().also { CompactNames.write(names, it) }
+                assertEquals(names, CompactNames.read(VarintReader(writer.toByteArray())))
             }
         }
 
-    /** A full chunk, each task on a machine of its own among thousands, half of them at later attempts, with its job. */
+    /** Worst case: a full chunk with each task on a different one of 30,000 machines, about half at attempt 41, with its job. */
     @Test
-    fun `the largest job record fits into the smallest value`() {
+    fun `the largest job record fits into the smallest value limit`() {
         val random = SplittableRandom(3)
         repeat(50) {
             val machines = generateSequence { random.nextInt(30_000) }.distinct().take(Job.TASKS_PER_CHUNK).toList()
@@ -56,30 +59,33 @@
             val job = Job(JobId(spec.id), spec, StoredStage.OPEN, 1_700_000_000_000_000, JobRecordInfo(version = 7), mapOf(0 to chunk))
             val value = RecordCodec.jobJson(job, RecordFormat.COMPACT)
             assertTrue(value.toString().length <= valueBytes, "${value.toString().length} B")
-            val again = RecordCodec.job(job.id, RecordCodec.decodeJob(value), 7, emptyMap())
-            assertEquals(placed, again?.chunk(0)?.placed)
-            assertTrue(RecordCodec.jobJson(job, RecordFormat.VERBOSE).toString().length > valueBytes, "the verbose one does not")
+            val decoded = RecordCodec.job(job.id, RecordCodec.decodeJob(value), 7, emptyMap())
+            assertEquals(placed, decoded?.chunk(0)?.placed)
+            assertTrue(
+                RecordCodec.jobJson(job, RecordFormat.VERBOSE).toString().length > valueBytes,
+                "the verbose record must exceed the limit",
+            )
         }
     }
 
     @Test
-    fun `bytes that are no record are refused, whatever they are`(): Unit =
+    fun `decoding random bytes throws only exceptions for unreadable records`(): Unit =
         runBlocking {
-            val refused = ArrayList<Int>()
+            val rejected = ArrayList<Int>()
             checkAll(config, Arb.byteArray(Arb.int(0..60), Arb.byte())) { bytes ->
                 val text = Base64.getEncoder().withoutPadding().encodeToString(bytes)
-                runCatching { CompactChunk.decode(text, 64, 1) }.onFailure { expect(it).also { refused += 1 } }
-                runCatching { CompactMachineList.decode(text) }.onFailure { expect(it).also { refused += 1 } }
+                runCatching { CompactChunk.decode(text, 64, 1) }.onFailure { assertUnreadable(it).also { rejected += 1 } }
+                runCatching { CompactMachineList.decode(text) }.onFailure { assertUnreadable(it).also { rejected += 1 } }
             }
-            assertTrue(refused.size > 1_000, "${refused.size} refused")
+            assertTrue(rejected.size > 1_000, "${rejected.size} rejected")
         }
 
-    /** What readers of records take for a record that can't be read. */
-    private fun expect(failure: Throwable) =
+    /** Checks that [failure] is of a type that stands for an unreadable record. */
+    private fun assertUnreadable(failure: Throwable) =
         assertTrue(failure is IllegalArgumentException || failure is ArithmeticException, failure.toString())
 
     @Test
-    fun `machines keep their kinds, marks and addresses`(): Unit =
+    fun `encoded machines decode with the same kinds, retirement and addresses`(): Unit =
         runBlocking {
             checkAll(config, Arb.list(Arb.int(0..5_000), 0..150)) { numbers ->
                 val machines =
--- a/src/test/kotlin/mintpick/wire/PeerApiTest.kt
+++ b/src/test/kotlin/mintpick/wire/PeerApiTest.kt
@@ -22,7 +22,7 @@
         arbitrary { PeerHint(Arb.string(0..12).bind(), Arb.long().bind(), Arb.list(machines, 0..5).bind(), Arb.long().bind()) }
 
     @Test
-    fun `hints are read back as they were written`(): Unit =
+    fun `an encoded hint decodes to the same hint`(): Unit =
         runBlocking {
             checkAll(config, hints) { hint ->
                 assertEquals(
@@ -32,17 +32,20 @@
             }
         }
 
-    /** The decoder itself throws index errors and the like on some of these: the first form let them through. */
+    /** On some of these inputs the decoder throws index errors and other runtime exceptions, which must not reach the caller. */
     @Test
-    fun `noise is dropped, never thrown`(): Unit =
+    fun `decoding random bytes does not throw`(): Unit =
         runBlocking {
-            checkAll(config, Arb.byteArray(Arb.int(0..60), Arb.byte())) { noise -> decodeHint(noise) }
+            checkAll(config, Arb.byteArray(Arb.int(0..60), Arb.byte())) { bytes -> decodeHint(bytes) }
             assertEquals(null, decodeHint(byteArrayOf(0x0a, 0x7f, 0x01)))
         }
 
-    /** With names spelled out for each machine a third of a fleet was too long for the receiver, which then heard nobody. */
+    /**
+     * When a hint repeated image names for each machine, a hint with a third of the fleet exceeded the receiver's body limit.
+     * The receiver then got no hints at all.
+     */
     @Test
-    fun `a hint of seventeen hundred machines with full caches stays small`() {
+    fun `a hint of 1700 machines with full image caches stays below 128 KiB`() {
         val names = (1..26).map { "img-%02d".format(it) }
         val hint =
             PeerHint(
--- a/src/test/kotlin/mintpick/wire/SubmissionTest.kt
+++ b/src/test/kotlin/mintpick/wire/SubmissionTest.kt
@@ -49,7 +49,7 @@
         }
 
     @Test
-    fun `what is written is read back`(): Unit =
+    fun `an encoded specification parses to the same specification`(): Unit =
         runBlocking {
             checkAll(config, specs) { spec ->
                 assertEquals(spec, Submission.parse(WireJson.encodeToString(JobSpec.serializer(), spec)))
@@ -57,7 +57,7 @@
         }
 
     @Test
-    fun `a field of the wrong kind, or a required one missing, is named`(): Unit =
+    fun `the error names a field of the wrong type, and a missing required field is rejected`(): Unit =
         runBlocking {
             val optional = setOf("breeds", "plot", "due_s", "waits_on")
             checkAll(config, specs) { spec ->
@@ -108,7 +108,7 @@
     }
 
     @Test
-    fun `jobs to wait for are named once each, and none at all in three ways`() {
+    fun `predecessors are deduplicated, and an empty list or null means none`() {
         assertEquals(listOf("req-1", "req-000002"), withPredecessors("""["req-1","req-000002","req-1"]""").predecessors)
         assertEquals(null, withPredecessors("[]").predecessors)
         assertEquals(null, withPredecessors("null").predecessors)
@@ -119,7 +119,7 @@
     }
 
     @Test
-    fun `text that is no object never does more than be refused`(): Unit =
+    fun `text that is not a JSON object is rejected`(): Unit =
         runBlocking {
             checkAll(config, Arb.string(0..60)) { text ->
                 assertThrows(MalformedException::class.java) { Submission.parse(text) }
