--- a/src/main/kotlin/mintpick/cli/Main.kt
+++ b/src/main/kotlin/mintpick/cli/Main.kt
@@ -72,15 +72,8 @@
         val settings = loaded.settings
         val maxConnections = settings.resources.maxConnections
         JdkServer.prepare(maxConnections * IDLE_SHARE_NUMERATOR / IDLE_SHARE_DENOMINATOR)
-        val limits =
-            ServiceLimits(
-                API_THREADS,
-                PEER_API_THREADS,
-                maxOf(
-                    MIN_PENDING_USER_REQUESTS,
-                    maxConnections / CONNECTIONS_PER_PENDING_USER_REQUEST,
-                ),
-            )
+        val maxPendingUserRequests = maxOf(MIN_PENDING_USER_REQUESTS, maxConnections / CONNECTIONS_PER_PENDING_USER_REQUEST)
+        val limits = ServiceLimits(API_THREADS, PEER_API_THREADS, maxPendingUserRequests)
         Service(settings, loaded.operators, SplittableRandom(SecureRandom().nextLong()), limits).use { service ->
             service.start()
             LOG.info("started node={} zone={} api={} mesh={}", settings.node, settings.zone, settings.api, settings.peerApi)
--- a/src/main/kotlin/mintpick/core/Candidates.kt
+++ b/src/main/kotlin/mintpick/core/Candidates.kt
@@ -16,7 +16,7 @@
     /** Whether the machine has the image with the given name. */
     val hasImage: (String) -> Boolean,
     /** Whether this controller controls the machine; otherwise it would have to be borrowed from a peer. */
-    val isOwned: Boolean,
+    val isControlled: Boolean,
     /** Resources assigned to work that services may preempt. */
     val preemptible: Resources = Resources.ZERO,
     /** Whether the agent has accepted this controller. Until then it starts no tasks, but tasks may be placed on it in advance. */
--- a/src/main/kotlin/mintpick/core/Job.kt
+++ b/src/main/kotlin/mintpick/core/Job.kt
@@ -5,7 +5,7 @@
 import kotlin.math.min
 
 /** A placed task, identified by its index in its job, and its current placement. */
-data class AssignedTask(
+data class TaskPlacement(
     val task: Int,
     val placement: Placement,
 )
@@ -66,9 +66,9 @@
     fun placement(task: Int): Placement? = if (task in 0 until spec.tasks) chunkOf(task).placed[task % TASKS_PER_CHUNK] else null
 
     /** The placed tasks and their placements, chunk by chunk. */
-    fun placements(): Sequence<AssignedTask> =
+    fun placements(): Sequence<TaskPlacement> =
         chunks.asSequence().flatMap { (index, chunk) ->
-            chunk.placed.asSequence().map { (task, placement) -> AssignedTask(index * TASKS_PER_CHUNK + task, placement) }
+            chunk.placed.asSequence().map { (task, placement) -> TaskPlacement(index * TASKS_PER_CHUNK + task, placement) }
         }
 
     /** The tasks counted by [waitingCount], in ascending order. */
--- a/src/main/kotlin/mintpick/core/MachineView.kt
+++ b/src/main/kotlin/mintpick/core/MachineView.kt
@@ -27,8 +27,8 @@
 
 /**
  * This controller's view of one machine: the newest status from its agent and the commands sent to it. Decides what they prove
- * about task attempts. A status ([MachineReport]) arrives in a heartbeat or as the response to a command or probe. Commands
- * go out in a call to the agent (direct commands) or in the response to a heartbeat. Times are microseconds of the monotonic
+ * about task attempts. A status ([MachineReport]) arrives in a heartbeat or as the answer to a command or probe. Commands
+ * go out in a call to the agent (direct commands) or in the answer to a heartbeat. Times are microseconds of the monotonic
  * clock. Event-loop thread only.
  */
 class MachineView(
@@ -71,8 +71,8 @@
     /** Latest start of each attempt whose call timed out. It may be executed later, whatever the outcome of a repeated start. */
     private val timedOutStarts = HashMap<AttemptId, PendingStart>()
 
-    /** Starts in the response to the latest heartbeat. They may still arrive until the next heartbeat or a higher agent epoch. */
-    private var startsInResponse: Set<AttemptId> = emptySet()
+    /** Starts in the answer to the latest heartbeat. They may still arrive until the next heartbeat or a higher agent epoch. */
+    private var startsInAnswer: Set<AttemptId> = emptySet()
 
     /** Images on the machine and their sizes in GB, the oldest first. */
     private val images = LinkedHashMap<String, Double>()
@@ -99,8 +99,8 @@
 
     /**
      * Records the heartbeat [report]; must be called once for each. Returns whether the agent may still be waiting for the
-     * response. An agent has one heartbeat in flight at a time, so a heartbeat that is not newer than an earlier one is a late
-     * copy, and its response is not read.
+     * answer. An agent has one heartbeat in flight at a time, so a heartbeat that is not newer than an earlier one is a late
+     * copy, and its answer is not read.
      */
     fun recordHeartbeat(report: MachineReport): Boolean {
         if (!isNewer(report, lastHeartbeatEpoch, lastHeartbeatSeq)) return false
@@ -110,22 +110,22 @@
     }
 
     /**
-     * Applies the status [report], received at [now]. [isResponse] is true for the response to a command or probe and false for a
+     * Applies the status [report], received at [now]. [isDirectAnswer] is true for the answer to a command or probe and false for a
      * heartbeat. Returns false and changes nothing if a status at least as new is already known, as delayed packets may cause.
      */
     fun applyStatus(
         report: MachineReport,
         now: Micros,
-        isResponse: Boolean,
+        isDirectAnswer: Boolean,
     ): Boolean {
         val before = latestStatus
         if (before != null && !isNewer(report, before.agentEpoch, before.seq)) return false
         latestStatus = report
         lastStatusUs = now
-        if (!isResponse) lastHeartbeatUs = now
+        if (!isDirectAnswer) lastHeartbeatUs = now
         tasks = tasksOf(report)
-        // The next heartbeat shows that the agent has read the last response or no longer waits for it. In a later epoch it drops it.
-        if (!isResponse || report.agentEpoch > (before?.agentEpoch ?: 0)) startsInResponse = emptySet()
+        // The next heartbeat shows that the agent has read the last answer or no longer waits for it. In a later epoch it drops it.
+        if (!isDirectAnswer || report.agentEpoch > (before?.agentEpoch ?: 0)) startsInAnswer = emptySet()
         applyNotice(report.noticeS, now)
         inFlightStarts.values.removeIf { it.isRefusedAfter(report) }
         timedOutStarts.values.removeIf { it.isRefusedAfter(report) }
@@ -180,9 +180,9 @@
 
     private fun isStartPending(attempt: AttemptId): Boolean = attempt in inFlightStarts || attempt in timedOutStarts
 
-    /** Records that the response to the latest heartbeat carries [starts]. */
-    fun recordStartsInResponse(starts: Set<AttemptId>) {
-        startsInResponse = starts
+    /** Records that the answer to the latest heartbeat carries [starts]. */
+    fun recordStartsInAnswer(starts: Set<AttemptId>) {
+        startsInAnswer = starts
     }
 
     /** What the newest status proves about [attempt] to a controller whose fencing token is [token]. */
@@ -195,22 +195,22 @@
         // While the agent has a different token, a command of another controller may still arrive.
         if (latestStatus == null || this.token != token || isStartPending(attempt)) return Proof.None
         return when {
-            report == null -> if (attempt in startsInResponse) Proof.None else Proof.Ended(null)
+            report == null -> if (attempt in startsInAnswer) Proof.None else Proof.Ended(null)
             report.state == TaskState.EXITED -> Proof.Ended(report.cause)
             else -> Proof.None
         }
     }
 
-    /** Records that this controller responded to a heartbeat at [now], which may have renewed the agent's lease. */
-    fun recordHeartbeatResponse(now: Micros) {
+    /** Records that this controller answered a heartbeat at [now], which may have renewed the agent's lease. */
+    fun recordHeartbeatAnswered(now: Micros) {
         leaseRenewedUs = now
     }
 
     /**
      * Whether the agent's lease has certainly expired. In that case the agent has killed all its tasks. Two conditions must hold:
-     * - The agent has shown a token of this controller, so it ignores responses of other controllers. This controller has
+     * - The agent has shown a token of this controller, so it ignores answers of other controllers. This controller has
      *   controlled the machine without interruption since [since], starting with [firstToken].
-     * - The time since this controller's last response, and since the newest status, is longer than [leaseUs] plus a margin for
+     * - The time since this controller's last answer, and since the newest status, is longer than [leaseUs] plus a margin for
      *   clock drift.
      */
     fun hasLeaseExpired(
@@ -227,7 +227,7 @@
     fun mayForget(
         attempt: AttemptId,
         token: Long,
-    ): Boolean = this.token == token && !isStartPending(attempt) && attempt !in startsInResponse
+    ): Boolean = this.token == token && !isStartPending(attempt) && attempt !in startsInAnswer
 
     /** Records that [image] of [gb] GB is on the machine. Evicts the oldest images beyond [cacheGb] GB, as the machine does. */
     fun recordImage(
--- a/src/main/kotlin/mintpick/core/Placer.kt
+++ b/src/main/kotlin/mintpick/core/Placer.kt
@@ -162,7 +162,7 @@
     private fun bestFirst(spec: JobSpec): Comparator<Match> =
         compareByDescending<Match> { it.entry.candidate.spot }
             .thenByDescending { it.entry.candidate.hasImage(spec.image) }
-            .thenByDescending { it.entry.candidate.isOwned && it.entry.candidate.isReady }
+            .thenByDescending { it.entry.candidate.isControlled && it.entry.candidate.isReady }
             // The fullest first: machines that stay empty can be released.
             .thenBy { if (spec.isService) it.entry.shareNotUsedByServices else it.entry.freeShare }
             .thenBy { it.machine.text }
--- a/src/main/kotlin/mintpick/core/PreemptionPolicy.kt
+++ b/src/main/kotlin/mintpick/core/PreemptionPolicy.kt
@@ -40,8 +40,10 @@
 
 /**
  * Decides which work is preempted for which. From "Ai2 replaces GPU priority scheduling with time budgets and fair share": funded
- * work is protected for its minimum runtime, and any funded request preempts unallocated work. One rule is this project's own:
- * past its minimum runtime, funded work is preempted only if its team is over its share and the preemptor's team is not.
+ * work is protected for its minimum runtime, and funded requests preempt unallocated work. A funded request may preempt unallocated
+ * work if it has a higher priority or belongs to another team; production work of higher priority may do so even if it is not
+ * funded. One rule is this project's own: past its minimum runtime, funded work is preempted only if its team is over its share and
+ * the preemptor's team is not.
  */
 object PreemptionPolicy {
     /** Whether [victim] is preempted for [preemptor]. */
@@ -53,9 +55,9 @@
     /**
      * Why [victim] is preempted for [preemptor]; null if it is not.
      *
-     * Unallocated work is preempted for any funded request. Funded work is preempted only after its minimum runtime, and only if
-     * its team is over its share and the preemptor's team is not. In addition, the platform's rules must allow the preemption: for a
-     * higher priority or, in the case of unallocated work, for another team's guarantee.
+     * The preemptor must be funded, or be production work of higher priority than the victim. Funded work is preempted only after
+     * its minimum runtime, and only if its team is over its share and the preemptor's team is not. In addition, the platform's rules
+     * must allow the preemption: for a higher priority or, in the case of unallocated work, for another team's guarantee.
      */
     fun reason(
         victim: RunningTask,
--- a/src/main/kotlin/mintpick/core/ShareTree.kt
+++ b/src/main/kotlin/mintpick/core/ShareTree.kt
@@ -34,15 +34,15 @@
 }
 
 /** Usage of a branch of the budget tree in relation to its weight. */
-data class BranchUse(
+data class BranchUsage(
     val branch: ShareNode,
     /** Share-seconds divided by weight. */
     val ratio: Double,
 )
 
 /**
- * Hierarchical fair share over the budget tree. Two teams are compared at the level where their paths diverge: the team whose
- * branch has the lower ratio of usage to weight is served first. From "Ai2 replaces GPU priority scheduling with time budgets and
+ * Hierarchical fair share over the budget tree. Two teams are compared at the level where their paths diverge: the jobs of the team whose
+ * branch has the lower ratio of usage to weight are placed first. From "Ai2 replaces GPU priority scheduling with time budgets and
  * fair share". The parameter `use` of the functions returns a team's usage in share-seconds.
  */
 class ShareTree(
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The rank of each team, starting at 0 for the team to be served first. Teams that compare equal share a rank. */
+    /** The rank of each team, starting at 0 for the team whose jobs are placed first. Teams that compare equal share a rank. */
     fun ranks(use: (String) -> Double): Map<String, Int> {
         val sorted = paths.keys.sortedWith { a, b -> compare(a, b, use) }
         val ranks = HashMap<String, Int>()
@@ -86,11 +86,11 @@
     fun usageRatios(
         team: String,
         use: (String) -> Double,
-    ): List<BranchUse> =
+    ): List<BranchUsage> =
         paths[team]
             .orEmpty()
             .drop(1)
-            .map { BranchUse(it, useOf(it, use) / weightOf(it)) }
+            .map { BranchUsage(it, useOf(it, use) / weightOf(it)) }
 
     private fun useOf(
         branch: ShareNode,
@@ -99,7 +99,7 @@
 
     private fun weightOf(branch: ShareNode): Double = max(branch.weight, MIN_WEIGHT)
 
-    /** Negative if team [a] is served before team [b], positive if after it, 0 if they compare equal. */
+    /** Negative if jobs of team [a] are placed before those of team [b], positive if after them, 0 if they compare equal. */
     fun compare(
         a: String,
         b: String,
--- a/src/main/kotlin/mintpick/core/UsageWindow.kt
+++ b/src/main/kotlin/mintpick/core/UsageWindow.kt
@@ -41,7 +41,7 @@
     }
 
     /** Share-seconds that [team] has used in all retained slots. */
-    fun use(team: String): Double = slots.values.sumOf { it[team] ?: 0.0 }
+    fun usageOf(team: String): Double = slots.values.sumOf { it[team] ?: 0.0 }
 
     /** Usage by slot and team. */
     fun snapshot(): Map<Long, Map<String, Double>> = slots.mapValues { it.value.toMap() }
--- a/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
+++ b/src/main/kotlin/mintpick/dependencies/DependencyGraph.kt
@@ -20,7 +20,7 @@
     WAITING,
 
     /** All predecessors are done, so the job's tasks may start. */
-    RELEASED,
+    READY,
 
     /** A direct or indirect predecessor is cancelled, so the job never runs. */
     CANCELLED,
@@ -53,8 +53,8 @@
     var waitingCount = 0
         private set
 
-    /** The readiness of [job]. A job that has no predecessors or is unknown here is [Readiness.RELEASED]. */
-    fun readiness(job: JobId): Readiness = nodes[job]?.readiness ?: Readiness.RELEASED
+    /** The readiness of [job]. A job that has no predecessors or is unknown here is [Readiness.READY]. */
+    fun readiness(job: JobId): Readiness = nodes[job]?.readiness ?: Readiness.READY
 
     /** Direct predecessors of [job]; empty if the job has ended or is unknown here. */
     fun predecessors(job: JobId): Set<JobId> = nodes[job]?.predecessors.orEmpty()
@@ -72,13 +72,13 @@
         stateOf: (JobId) -> PredecessorState,
     ): Readiness {
         nodes[job]?.let { return it.readiness }
-        if (predecessors.isEmpty()) return Readiness.RELEASED
+        if (predecessors.isEmpty()) return Readiness.READY
         val states = predecessors.associateWith(stateOf)
         val unfinishedPredecessors = states.filterValues { it == PredecessorState.PENDING }.keys
         val readiness =
             when {
                 states.containsValue(PredecessorState.CANCELLED) -> Readiness.CANCELLED
-                unfinishedPredecessors.isEmpty() -> Readiness.RELEASED
+                unfinishedPredecessors.isEmpty() -> Readiness.READY
                 else -> Readiness.WAITING
             }
         nodes[job] = Node(predecessors.toSet(), HashSet(unfinishedPredecessors), readiness)
@@ -108,7 +108,7 @@
             val wasUnfinished = node.unfinishedPredecessors.remove(job)
             val isLast = wasUnfinished && node.unfinishedPredecessors.isEmpty()
             if (!isLast || node.readiness != Readiness.WAITING) continue
-            node.readiness = Readiness.RELEASED
+            node.readiness = Readiness.READY
             waitingCount--
             released += successor
         }
--- a/src/main/kotlin/mintpick/engine/Engine.kt
+++ b/src/main/kotlin/mintpick/engine/Engine.kt
@@ -111,8 +111,8 @@
         )
     private val sweeper = RecordSweeper(context, stateStore, shardClaims, pendingRequests)
     private val updateCycle = JobUpdateCycle(context, stateStore, shardClaims, reconciler, scheduler, pendingRequests, jobUpdateWriter)
-    private val machineHints = MachineHints(context, shardClaims, agents, reconciler, commandPlanner)
-    private val hintExchange = PeerHintExchange(context, stateStore, health, reconciler, machineHints)
+    private val machineHintCollector = MachineHintCollector(context, shardClaims, agents, reconciler, commandPlanner)
+    private val hintExchange = PeerHintExchange(context, stateStore, health, reconciler, machineHintCollector)
     private val statusReporter =
         StatusReporter(context, stateStore, shardClaims, formats, pendingRequests, jobUpdateWriter, usageAccounting)
     private var lastStepUs: Micros = 0
@@ -223,7 +223,7 @@
         /** Steps are normally at most 50 ms apart, and a few hundred milliseconds under CPU contention. */
         const val PROCESS_PAUSE: Micros = 2_000 * MILLI
 
-        /** Each peer must have sent a hint within this time for shards to be moved back to their preferred controllers. */
+        /** Each peer must have sent a hint within this time for shards to be moved back to their balanced owners. */
         const val MAX_HINT_AGE: Micros = 3_000 * MILLI
     }
 }
--- a/src/main/kotlin/mintpick/engine/EventLoop.kt
+++ b/src/main/kotlin/mintpick/engine/EventLoop.kt
@@ -52,7 +52,7 @@
                 stepSafely(batch)
             }
         } catch (_: InterruptedException) {
-            // Interrupted while waiting for an event: restores the interrupt flag for the owner of this thread.
+            // Interrupted while waiting for an event: restores the interrupt flag for the code that called [run].
             Thread.currentThread().interrupt()
         }
     }
--- a/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
+++ b/src/main/kotlin/mintpick/engine/PeerHintExchange.kt
@@ -20,8 +20,8 @@
 import mintpick.wire.PeerProtobuf
 import mintpick.wire.decodeHint
 
-/** The machines that this controller commands, as listed in its peer hints. */
-internal class MachineHints(
+/** Collects the machines that this controller controls, as listed in its peer hints. */
+internal class MachineHintCollector(
     private val context: EngineContext,
     private val shardClaims: ShardClaims,
     private val agents: AgentRegistry,
@@ -54,7 +54,7 @@
     private val stateStore: StateStoreClient,
     private val health: ControllerHealth,
     private val reconciler: Reconciler,
-    private val machineHints: MachineHints,
+    private val machineHintCollector: MachineHintCollector,
 ) {
     private var nextHintUs: Micros = 0
     private var hintRounds = 0
@@ -101,7 +101,7 @@
         listsMachines: Boolean,
     ): PeerHint {
         val imageIndexes = LinkedHashMap<String, Int>()
-        val machines = if (listsMachines) machineHints.collect(imageIndexes) else emptyList()
+        val machines = if (listsMachines) machineHintCollector.collect(imageIndexes) else emptyList()
         val stateAgeUs = stateStore.lastServedUs?.takeIf { stateStore.isServing }?.let { context.now - it }
         return PeerHint(
             context.settings.node,
--- a/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
+++ b/src/main/kotlin/mintpick/engine/agents/AgentIndex.kt
@@ -42,7 +42,7 @@
 
     /** Attempts whose start has been logged. Filled only while debug logging is enabled. */
     private val loggedAttempts = HashSet<AttemptId>()
-    private var lastControlEpoch = -1L
+    private var lastControlChangeCount = -1L
     private var lastLease: Long? = null
     private var pauseEndedUs: Micros = 0
 
@@ -110,10 +110,11 @@
     fun isFresh(view: MachineView): Boolean = context.now - view.lastStatusUs < maxHeartbeatIntervalUs + FRESH_MARGIN
 
     /** Whether a heartbeat is overdue and no answer to a call was received in its place. */
-    fun isUnresponsive(view: MachineView): Boolean = context.now - view.lastStatusUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
+    fun isUnresponsive(view: MachineView): Boolean = context.now - view.lastStatusUs > maxHeartbeatIntervalUs + HEARTBEAT_DELAY_MARGIN
 
     /** Whether the next heartbeat is overdue, regardless of answers to calls. */
-    fun isHeartbeatOverdue(view: MachineView): Boolean = context.now - view.lastHeartbeatUs > maxHeartbeatIntervalUs + OVERDUE_MARGIN
+    fun isHeartbeatOverdue(view: MachineView): Boolean =
+        context.now - view.lastHeartbeatUs > maxHeartbeatIntervalUs + HEARTBEAT_DELAY_MARGIN
 
     private val maxHeartbeatIntervalUs: Micros get() = context.settings.heartbeatIntervalUs * 5 / 4
 
@@ -131,9 +132,9 @@
      * of the machine, which sent its heartbeats to another controller before, and no earlier than the last process pause ended.
      */
     fun noContactSince(machine: MachineId): Micros {
-        val heardUs = viewsByMachine[machine]?.lastStatusUs ?: 0
+        val lastStatusUs = viewsByMachine[machine]?.lastStatusUs ?: 0
         val controlledSinceUs = controlPeriods[machine]?.sinceUs ?: context.now
-        return maxOf(heardUs, controlledSinceUs, pauseEndedUs)
+        return maxOf(lastStatusUs, controlledSinceUs, pauseEndedUs)
     }
 
     /**
@@ -153,8 +154,8 @@
         if (!shardClaims.controls(view.id)) return false
         if (!view.hasLeaseExpired(context.now, period.sinceUs, period.firstToken, context.settings.leaseUs)) return false
         // Another controller in the machine's zone may have answered its heartbeats on behalf of this controller.
-        val answeredOnBehalfUntilUs = health.peerRenewalsUntil(cache.machines[view.id]?.record?.zone) ?: return false
-        return MachineView.isLeaseExpired(context.now, answeredOnBehalfUntilUs, context.settings.leaseUs)
+        val peerRenewalsUntilUs = health.peerRenewalsUntil(cache.machines[view.id]?.record?.zone) ?: return false
+        return MachineView.isLeaseExpired(context.now, peerRenewalsUntilUs, context.settings.leaseUs)
     }
 
     /**
@@ -163,8 +164,8 @@
      * released because of calls that had failed before control of it was lost.
      */
     fun updateControlledMachines(): ControlUpdate {
-        if (cache.controlEpoch == lastControlEpoch && stateStore.lease == lastLease) return ControlUpdate.Unchanged
-        lastControlEpoch = cache.controlEpoch
+        if (cache.controlChangeCount == lastControlChangeCount && stateStore.lease == lastLease) return ControlUpdate.Unchanged
+        lastControlChangeCount = cache.controlChangeCount
         lastLease = stateStore.lease
         val acquired = ArrayList<MachineId>()
         for (known in cache.machines.values) {
@@ -187,7 +188,7 @@
         private const val FRESH_MARGIN: Micros = 2 * SECOND
 
         /** Delay after the longest heartbeat interval from which a heartbeat counts as overdue. */
-        private const val OVERDUE_MARGIN: Micros = 600 * MILLI
+        private const val HEARTBEAT_DELAY_MARGIN: Micros = 600 * MILLI
 
         /** How long an acquired machine may remain unconfirmed before it is treated like any other machine. */
         private const val CONFIRMATION_GRACE_PERIOD: Micros = 2 * SECOND
--- a/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
+++ b/src/main/kotlin/mintpick/engine/agents/CommandDispatcher.kt
@@ -102,8 +102,8 @@
         }
         val report = statusIn(result)
         if (report != null) applyStatus(view, report)
-        val isFromOtherSession = result is AgentProtocol.Result.Refused && report != null && report.agentEpoch != batch.agentEpoch
-        if (takePendingPush(view.id) || isFromOtherSession) pushCommands(view.id)
+        val isFromOtherEpoch = result is AgentProtocol.Result.Refused && report != null && report.agentEpoch != batch.agentEpoch
+        if (takePendingPush(view.id) || isFromOtherEpoch) pushCommands(view.id)
         return report != null
     }
 
@@ -118,7 +118,7 @@
         view: MachineView,
         report: MachineReport,
     ) {
-        val isNew = view.applyStatus(report, context.now, isResponse = true)
+        val isNew = view.applyStatus(report, context.now, isDirectAnswer = true)
         if (isNew) index.onNewStatus(view, report)
     }
 
@@ -216,7 +216,7 @@
         for (machine in index.controlledMachines) {
             val view = index.view(machine)
             val claim = shardClaims.controlClaim(machine) ?: continue
-            if (view != null && hasLostStart(view)) shardClaims.raiseToken(machine, "lost-start")
+            if (view != null && hasUnresolvedStart(view)) shardClaims.raiseToken(machine, "lost-start")
             if (confirmations < MAX_CONFIRMATIONS && isConfirmationDue(machine, view, claim)) {
                 confirmations++
                 callsByMachine.getOrPut(machine) { DirectCalls() }.confirmAfterUs = context.now + CONFIRM_INTERVAL
@@ -227,7 +227,7 @@
         }
     }
 
-    private fun hasLostStart(view: MachineView): Boolean = view.needsHigherToken && context.now - view.lastStatusUs < RECENT_CONTACT
+    private fun hasUnresolvedStart(view: MachineView): Boolean = view.needsHigherToken && context.now - view.lastStatusUs < RECENT_CONTACT
 
     private fun isConfirmationDue(
         machine: MachineId,
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatAnswers.kt
@@ -40,8 +40,12 @@
     private val unservedMachines: UnservedMachines,
 ) {
     /**
-     * The answer to the heartbeat [report]: 200 with commands, 421 with the machine's controller if it is known, or 503 while
-     * the records are being loaded or no claim gives control of the machine.
+     * The answer to the heartbeat [report]:
+     * - 200 with commands if this controller controls the machine. It contains only stops if [scope] is not
+     *   [AnswerScope.ALL_COMMANDS], if the claim is of an earlier process, or on behalf of the machine's controller.
+     * - 421 with the machine's controller, or without a name if that controller has no lease. 421 without a name also while this
+     *   controller may not renew leases, or if the agent has already received a higher fencing token.
+     * - 503 while the records are being loaded or no claim gives control of the machine.
      */
     fun answer(
         view: MachineView,
@@ -75,8 +79,8 @@
             } else {
                 commandPlanner.stopsOfCancelledTasks(view)
             }
-        if (carriesAll) view.recordStartsInResponse(CommandPlanner.startedAttempts(commands))
-        if (scope != AnswerScope.UNREAD) view.recordHeartbeatResponse(context.now)
+        if (carriesAll) view.recordStartsInAnswer(CommandPlanner.startedAttempts(commands))
+        if (scope != AnswerScope.UNREAD) view.recordHeartbeatAnswered(context.now)
         return accepted(claim, commands)
     }
 
@@ -103,7 +107,7 @@
         view: MachineView,
         claim: Claim,
     ): Answer {
-        view.recordHeartbeatResponse(context.now)
+        view.recordHeartbeatAnswered(context.now)
         return accepted(claim, commandPlanner.stopsOfCancelledTasks(view))
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/HeartbeatHandler.kt
@@ -27,7 +27,7 @@
         shardClaims.register(machine, report.zone)
         val view = index.viewOrCreate(machine)
         val isAwaited = view.recordHeartbeat(report)
-        val isNewest = view.applyStatus(report, context.now, isResponse = false)
+        val isNewest = view.applyStatus(report, context.now, isDirectAnswer = false)
         if (isNewest) index.onNewStatus(view, report)
         if (isAwaited) reachability.onHeartbeatFrom(report.zone)
         if (isAwaited && unservedMachines.recordHeartbeat(machine)) {
--- a/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
+++ b/src/main/kotlin/mintpick/engine/agents/MachineListTransaction.kt
@@ -36,10 +36,10 @@
         val removed = changes.terminated.map { it.id }.filter { id -> pieces.values.any { id in it.removed } }
         val listWrites = pieces.map { (number, piece) -> Write(Keys.machineList(changes.partition, number), piece.value) }
         val borrowWrites = borrowingRemovals(removed, maxOf(0, maxOperations - pieces.size))
-        val legacyRoom = maxOf(0, maxOperations - pieces.size) - borrowWrites.size
+        val legacyCapacity = maxOf(0, maxOperations - pieces.size) - borrowWrites.size
         val moved = (changes.added.keys + changes.scaledIn.map { it.machine }).filter { it in written }
         // Borrowings go first: the cache then drops the end of a borrowing when it applies the removal of its machine.
-        val writes = borrowWrites + listWrites + legacyRecordRemovals(moved + removed, legacyRoom)
+        val writes = borrowWrites + listWrites + legacyRecordRemovals(moved + removed, legacyCapacity)
         return MachineListTransaction(guardsOf(changes.partition, layout), writes, applied.filter { it.machine in written })
     }
 
@@ -61,20 +61,20 @@
 
     private fun borrowingRemovals(
         removed: List<MachineId>,
-        room: Int,
+        maxRemovals: Int,
     ): List<Write> =
         removed
             .filter { it in cache.borrows }
-            .take(minOf(MAX_OBSOLETE_RECORDS, room))
+            .take(minOf(MAX_OBSOLETE_RECORDS, maxRemovals))
             .map { Write(Keys.borrow(it.text), null) }
 
     private fun legacyRecordRemovals(
         machines: List<MachineId>,
-        room: Int,
+        maxRemovals: Int,
     ): List<Write> =
         machines
             .filter { cache.machines[it]?.legacy == true }
-            .take(minOf(MAX_OBSOLETE_RECORDS, room))
+            .take(minOf(MAX_OBSOLETE_RECORDS, maxRemovals))
             .map { Write(Keys.machine(it.text), null) }
 
     /** Guards all pieces of a partition, including those that do not exist yet, since a machine must never be listed in two of them. */
--- a/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
+++ b/src/main/kotlin/mintpick/engine/agents/PendingJobWrites.kt
@@ -34,7 +34,7 @@
     /** Cached result of [isUrgent], valid until the job, its proven outcomes or control of machines change. */
     private class Urgency(
         val job: Job,
-        val claimEpoch: Long,
+        val claimChangeCount: Long,
         val isUrgent: Boolean,
     )
 
@@ -101,7 +101,7 @@
     /**
      * Requeues the attempts that have ended on [machine]. Unless the machine is terminated, its next controller could have
      * renewed the agent's lease or started a missing attempt again. Each requeue is therefore guarded by control of the
-     * machine, and left out if the transaction has no room for the guard.
+     * machine, and left out if the guard does not fit into the transaction.
      */
     private fun requeueEnded(
         draft: JobUpdate,
@@ -137,9 +137,9 @@
         write: PendingWrite,
     ): Boolean {
         val known = write.urgency
-        if (known != null && known.job === job && known.claimEpoch == cache.claimEpoch) return known.isUrgent
+        if (known != null && known.job === job && known.claimChangeCount == cache.claimChangeCount) return known.isUrgent
         val isUrgent = hasTasksToPlaceAgain(job, write) || areAllOutcomesProven(job, write)
-        write.urgency = Urgency(job, cache.claimEpoch, isUrgent)
+        write.urgency = Urgency(job, cache.claimChangeCount, isUrgent)
         return isUrgent
     }
 
--- a/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
+++ b/src/main/kotlin/mintpick/engine/agents/ReachabilityTracker.kt
@@ -50,7 +50,7 @@
 
     /**
      * Time of the last successful call to a machine in [zone] or the last heartbeat from one; 0 if there was none. Contact is
-     * recorded by zone because, with few machines, many hanging at once may leave none that is called often.
+     * recorded by zone, because in a small zone too few machines may be called often enough to show contact while several hang.
      */
     fun lastReachedInZone(zone: String?): Micros = lastReachedUsByZone[zone] ?: 0
 
--- a/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
+++ b/src/main/kotlin/mintpick/engine/agents/Reconciler.kt
@@ -31,7 +31,7 @@
     /** Machines to examine in this step. */
     private val changedMachines = HashSet<MachineId>()
     private var nextSweepUs: Micros = 0
-    private var lastClaimEpoch = -1L
+    private var lastClaimChangeCount = -1L
 
     private val cache get() = context.cache
 
@@ -67,8 +67,8 @@
      */
     fun reconcile(changed: Collection<MachineId>) {
         changedMachines += changed
-        if (cache.claimEpoch != lastClaimEpoch) {
-            lastClaimEpoch = cache.claimEpoch
+        if (cache.claimChangeCount != lastClaimChangeCount) {
+            lastClaimChangeCount = cache.claimChangeCount
             changedMachines += cache.machinesWithTasks()
         } else if (context.now >= nextSweepUs) {
             nextSweepUs = context.now + SWEEP_INTERVAL
--- a/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/agents/UnservedMachines.kt
@@ -31,9 +31,10 @@
     private val unservedUsByShard = HashMap<Int, HashMap<MachineId, Micros>>()
 
     /**
-     * Records a heartbeat of [machine]; returns whether the machine is unserved. It is unserved if its agent keeps sending
-     * heartbeats here although it was redirected to its controller, or if this controller receives no peer hints from that
-     * controller either. Must be called once for each heartbeat whose agent waits for the answer.
+     * Records a heartbeat of [machine]; returns whether the machine is unserved. It is unserved if the claim that
+     * controls it is settled and the claim's owner has sent no recent hint, or if its agent keeps sending heartbeats here and the
+     * owner's hints show none from it. Always false while this controller is unhealthy or the owner has no lease. Must be called
+     * once for each heartbeat whose agent waits for the answer.
      */
     fun recordHeartbeat(machine: MachineId): Boolean {
         val controller = shardClaims.controlClaim(machine)?.node
--- a/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/ClaimCache.kt
@@ -18,7 +18,7 @@
     /** Claims on shards, by shard index. */
     val claims: Map<Int, Claim> get() = claimsByShard
 
-    /** Claims on borrowed machines. The owner of such a claim commands the machine, whichever controller owns its shard. */
+    /** Claims on borrowed machines. The owner of such a claim controls the machine, whichever controller owns its shard. */
     val borrows: Map<MachineId, Claim> get() = borrowsByMachine
 
     /** Revisions at which borrowings ended. All commands issued under these borrowings have lower fencing tokens. */
@@ -29,7 +29,7 @@
         private set
 
     /** Incremented whenever a claim on a shard or a borrowed machine changes. */
-    var epoch = 0L
+    var changeCount = 0L
         private set
 
     /** Applies a write of the claim on [shard], or its deletion if [value] is null. */
@@ -38,7 +38,7 @@
         value: JsonElement?,
         version: Long,
     ) {
-        epoch++
+        changeCount++
         claimsByShard.applyRecord(shard, value) { decode(it, version) }
     }
 
@@ -48,7 +48,7 @@
         value: JsonElement?,
         version: Long,
     ) {
-        epoch++
+        changeCount++
         if (value == null) {
             borrowEndRevisionsByMachine[machine] = version
         } else {
--- a/src/main/kotlin/mintpick/engine/cache/JobCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/JobCache.kt
@@ -46,7 +46,7 @@
     /** The job [id] if it is in a final stage. */
     fun finalJob(id: JobId): FinalJob? = finalJobs[id]
 
-    /** Jobs with tasks to place, the longest-waiting first. */
+    /** Jobs with tasks to place, in the order in which the cache first saw them waiting. */
     fun waitingJobs(): List<Job> = waitingIds.mapNotNull { jobsById[it] }
 
     /** Ids of the cancelled jobs that still have placed tasks. */
@@ -137,7 +137,7 @@
     /** The job [stored], updated with the readiness that follows from its predecessors' records. */
     private fun withReadiness(stored: Job): Job =
         when (dependencies.add(stored.id, stored.spec.predecessorIds, ::predecessorState)) {
-            Readiness.RELEASED -> stored
+            Readiness.READY -> stored
             Readiness.WAITING -> stored.with(arePredecessorsDone = false)
             Readiness.CANCELLED -> stored.with(stage = StoredStage.CANCELLED, arePredecessorsDone = false)
         }
--- a/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/LocalCache.kt
@@ -25,7 +25,7 @@
 class LocalCache {
     private val versions = Object2LongOpenHashMap<String>()
 
-    /** Machines whose assigned tasks or records have changed since this set was last cleared. */
+    /** Machines whose placed tasks or records have changed since this set was last cleared. */
     val changedMachines: MutableSet<MachineId> = HashSet()
     private val placementIndex = PlacementIndex(changedMachines)
     private val jobCache = JobCache(placementIndex)
@@ -49,7 +49,7 @@
     /** Claims on shards, by shard index. */
     val claims: Map<Int, Claim> get() = claimCache.claims
 
-    /** Claims on borrowed machines. The owner of such a claim commands the machine, whichever controller owns its shard. */
+    /** Claims on borrowed machines. The owner of such a claim controls the machine, whichever controller owns its shard. */
     val borrows: Map<MachineId, Claim> get() = claimCache.borrows
 
     /** Revisions at which borrowings ended. All commands issued under these borrowings have lower fencing tokens. */
@@ -67,8 +67,8 @@
     /** Number of pieces that the machine types are stored in. */
     val machineTypePieceCount: Int get() = machineCache.machineTypePieceCount
 
-    /** Total CPUs of all machines, recomputed when [controlEpoch] has changed. */
-    val totalCpus: Double get() = machineCache.totalCpus(controlEpoch)
+    /** Total CPUs of all machines, recomputed when [controlChangeCount] has changed. */
+    val totalCpus: Double get() = machineCache.totalCpus(controlChangeCount)
 
     /** Registrations of the controllers whose leases have not expired. */
     val nodes: Map<NodeId, NodeRecord> get() = controllerCache.nodes
@@ -80,13 +80,13 @@
     val usage: Map<NodeId, Map<Int, UsageRecord>> get() = controllerCache.usage
 
     /** Increases whenever a claim on a shard or a borrowed machine, a machine record or a machine list changes. */
-    val controlEpoch: Long get() = claimCache.epoch + machineCache.epoch
+    val controlChangeCount: Long get() = claimCache.changeCount + machineCache.changeCount
 
     /**
      * Increases only when a claim on a shard or a borrowed machine changes. Machine lists, in contrast, change several times a
-     * second while a fleet grows.
+     * second while a cluster grows.
      */
-    val claimEpoch: Long get() = claimCache.epoch
+    val claimChangeCount: Long get() = claimCache.changeCount
 
     /** The job [id]; null if it is in a final stage, or if it is unknown. */
     fun job(id: JobId): Job? = jobCache.job(id)
@@ -97,7 +97,7 @@
     /** Whether the job [id] is known, in any stage. */
     fun isKnown(id: JobId): Boolean = job(id) != null || finalJob(id) != null
 
-    /** Jobs with tasks to place, the longest-waiting first. */
+    /** Jobs with tasks to place, in the order in which the cache first saw them waiting. */
     fun waitingJobs(): List<Job> = jobCache.waitingJobs()
 
     /** Ids of the cancelled jobs that still have placed tasks. */
@@ -105,7 +105,8 @@
 
     /**
      * Cancelled jobs without placed tasks, whose final records have not been written yet. These are jobs cancelled with a
-     * predecessor, and large jobs, of which a task could be placed unnoticed until their cancellation was stored.
+     * predecessor, and jobs with several chunks: until their cancellation was stored, a task could still be placed in a chunk that
+     * the canceller had not seen.
      */
     fun finalizableJobs(): Sequence<Job> = jobCache.finalizableJobs()
 
@@ -121,10 +122,10 @@
     /** Last known version of [key], including deletions; 0 if the key was never seen. */
     fun version(key: String): Long = versions.getLong(key)
 
-    /** Tasks assigned to [machine], with their attempts. */
+    /** Tasks placed on [machine], with their attempts. */
     fun tasksOn(machine: MachineId): Map<TaskId, Int> = placementIndex.tasksOn(machine)
 
-    /** Machines that tasks are assigned to. */
+    /** Machines that tasks are placed on. */
     fun machinesWithTasks(): Set<MachineId> = placementIndex.machines
 
     /** Resources used by the tasks on [machine]. */
--- a/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
+++ b/src/main/kotlin/mintpick/engine/cache/MachineCache.kt
@@ -20,7 +20,7 @@
     private val idsByList = HashMap<Keys.Subject.MachineList, Set<MachineId>>()
     private val typePieces = TreeMap<Int, List<MachineType>>()
     private var cachedTotalCpus = 0.0
-    private var cachedTotalCpusEpoch = NOT_COMPUTED
+    private var cachedTotalCpusChangeCount = NOT_COMPUTED
 
     /** All machines, from machine lists and from records of their own. */
     val machines: Map<MachineId, KnownMachine> get() = machinesById
@@ -33,13 +33,13 @@
     val machineTypePieceCount: Int get() = typePieces.size
 
     /** Incremented whenever a machine record or a machine list changes. */
-    var epoch = 0L
+    var changeCount = 0L
         private set
 
-    /** Total CPUs of all machines, recomputed when [controlEpoch] differs from that of the last call. */
-    fun totalCpus(controlEpoch: Long): Double {
-        if (cachedTotalCpusEpoch != controlEpoch) {
-            cachedTotalCpusEpoch = controlEpoch
+    /** Total CPUs of all machines, recomputed when [controlChangeCount] differs from that of the last call. */
+    fun totalCpus(controlChangeCount: Long): Double {
+        if (cachedTotalCpusChangeCount != controlChangeCount) {
+            cachedTotalCpusChangeCount = controlChangeCount
             cachedTotalCpus = machinesById.values.sumOf { machineTypes[it.record.type]?.cpus ?: 0.0 }
         }
         return cachedTotalCpus
@@ -50,7 +50,7 @@
         id: MachineId,
         value: JsonElement?,
     ) {
-        epoch++
+        changeCount++
         machinesById.applyRecord(id, value) {
             KnownMachine(id, WireJson.decodeFromJsonElement(MachineRecord.serializer(), it), legacy = true)
         }
@@ -62,7 +62,7 @@
         list: Keys.Subject.MachineList,
         value: JsonElement?,
     ): List<MachineId> {
-        epoch++
+        changeCount++
         val after = value?.let(RecordCodec::decodeMachineList).orEmpty()
         val removed = idsByList[list].orEmpty().filter { it !in after && !isInOtherList(it, list) }
         for (id in removed) {
--- a/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
+++ b/src/main/kotlin/mintpick/engine/cache/PlacementIndex.kt
@@ -26,10 +26,10 @@
     private val loads = HashMap<MachineId, MachineLoad>()
     private val usedByTeam = HashMap<String, Resources>()
 
-    /** Machines that tasks are assigned to. */
+    /** Machines that tasks are placed on. */
     val machines: Set<MachineId> get() = loads.keys
 
-    /** Tasks assigned to [machine], with their attempts. */
+    /** Tasks placed on [machine], with their attempts. */
     fun tasksOn(machine: MachineId): Map<TaskId, Int> = loads[machine]?.tasks ?: emptyMap()
 
     /** Resources used by the tasks on [machine]. */
--- a/src/main/kotlin/mintpick/engine/capacity/BootingMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BootingMachines.kt
@@ -74,7 +74,7 @@
     fun isLate(machine: BootingMachine): Boolean = isBootingLongerThan(machine, bootTimes.replaceAfterMultiple(machine.kind))
 
     /** Whether [machine] should be released. Some machines never come up, but are charged until released. */
-    fun isLost(machine: BootingMachine): Boolean {
+    fun isBootFailed(machine: BootingMachine): Boolean {
         val nominalUs = nominalBootUs(machine)
         val bootLimitUs = (nominalUs * bootTimes.releaseAfterMultiple(machine.kind)).toLong()
         val limitUs = bootLimitUs + RELEASE_MARGIN + context.settings.listLagUs
--- a/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/BorrowedMachines.kt
@@ -19,13 +19,13 @@
 
     private val cache get() = context.cache
 
-    /** Returns borrowed machines that have no tasks, if no job is unschedulable and [MIN_BORROW_TIME] has passed. */
+    /** Returns borrowed machines that have no tasks, if [Scheduler.notFullyPlaced] is empty and [MIN_BORROW_TIME] has passed. */
     fun returnUnused() {
         borrowedSinceUs.keys.retainAll(cache.borrows.keys)
         for ((machine, claim) in cache.borrows.toMap()) {
             if (!shardClaims.isOwn(claim)) continue
             val sinceUs = borrowedSinceUs.getOrPut(machine) { context.now }
-            val isNeeded = scheduler.unschedulable.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
+            val isNeeded = scheduler.notFullyPlaced.isNotEmpty() || cache.tasksOn(machine).isNotEmpty()
             val isDue = !isNeeded && context.now - sinceUs > MIN_BORROW_TIME
             if (isDue && stateStore.writesAllowed() > RESERVED_WRITES) shardClaims.returnBorrowed(machine)
         }
--- a/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CapacityView.kt
@@ -84,7 +84,7 @@
             free,
             type.capacity,
             NO_IMAGES,
-            isOwned = true,
+            isControlled = true,
             preemptible = preemptible,
         )
     }
@@ -106,7 +106,7 @@
         offer: Offer,
     ): CandidateMachine? {
         val size: Resources = cache.machineTypes[offer.type]?.capacity ?: return null
-        return CandidateMachine(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, isOwned = true, hasBooted = false)
+        return CandidateMachine(id, offer.type, offer.zone, offer.spot, size, size, NO_IMAGES, isControlled = true, hasBooted = false)
     }
 
     /** Totals of the spot or on-demand machines that are not known to be terminated. */
--- a/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/CloudInventory.kt
@@ -120,8 +120,9 @@
     }
 
     /**
-     * Marks machines as terminated that are missing from [listing]. A new machine may be missing for up to twice the list's lag,
-     * so only machines known for longer are marked.
+     * Marks machines as terminated that are missing from [listing]. A new machine may be missing for up to twice the list's lag.
+     * Only machines known for longer than [LIST_LAG_MULTIPLE] times the lag plus [LIST_LAG_MARGIN], and not in contact since, are
+     * marked.
      */
     private fun terminateUnlisted(listing: Listing) {
         val listed = listing.machines.mapTo(HashSet()) { MachineId(it.id) }
--- a/src/main/kotlin/mintpick/engine/capacity/DemandAggregation.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandAggregation.kt
@@ -22,7 +22,7 @@
         val spot: Boolean,
         val spread: Boolean,
         val mayRentOnDemand: Boolean,
-        val keepsToSpot: Boolean,
+        val spotOnly: Boolean,
     ) : AggregationKey
 }
 
--- a/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/DemandForecast.kt
@@ -73,9 +73,9 @@
             queuedCpuSeconds += scheduler.startableTasks(job) * spec.cpus * spec.estimateS
             val count = takeRunnableTasks(job, quota)
             if (count == 0) continue
-            val keepsToSpot = scheduler.isSpotOnly(job)
+            val spotOnly = scheduler.isSpotOnly(job)
             val queuesTooLong = queuedCpuSeconds > maxQueueTimeS(spec) * spotCpus
-            demands += CapacityDemand(spec, count, scheduler.tasksPerZone(job), !keepsToSpot && queuesTooLong, keepsToSpot)
+            demands += CapacityDemand(spec, count, scheduler.tasksPerZone(job), !spotOnly && queuesTooLong, spotOnly)
         }
         return aggregateDemands(demands).take(MAX_DEMANDS)
     }
--- a/src/main/kotlin/mintpick/engine/capacity/ScaleIn.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/ScaleIn.kt
@@ -41,7 +41,7 @@
 
     private fun release() {
         nextReleaseUs = context.now + CHECK_INTERVAL
-        val candidates = retiredMachines() + lostMachines() + inventory.failedMachines()
+        val candidates = retiredMachines() + bootFailures() + inventory.failedMachines()
         val machines =
             candidates
                 .distinct()
@@ -92,9 +92,9 @@
         return context.now - emptySinceUs.getOrPut(id) { context.now } >= MIN_EMPTY_TIME
     }
 
-    private fun lostMachines(): List<MachineId> =
+    private fun bootFailures(): List<MachineId> =
         inventory.booting.all
-            .filter(inventory.booting::isLost)
+            .filter(inventory.booting::isBootFailed)
             .map { it.id }
 
     private companion object {
--- a/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
+++ b/src/main/kotlin/mintpick/engine/capacity/UnresponsiveMachines.kt
@@ -38,9 +38,10 @@
                 (views.size == monitored.size && monitored.size > 1)
 
         /**
-         * Whether this controller may be partitioned from the zone of [view]: other machines there are unreachable too, and no
-         * call to the zone has succeeded since [failingSinceUs]. Without this check, a leader that was partitioned only from its
-         * agents released 72 live machines within seconds, those of services first.
+         * Whether this controller may be separated by a network partition from the zone of [view]: other machines there are
+         * unreachable too, and no call to the zone has succeeded since [failingSinceUs]. Without this check, a leader that was
+         * separated by a network partition only from its agents released 72 live machines within seconds, those of services
+         * first.
          */
         fun mayBeZonePartition(
             view: MachineView,
@@ -87,14 +88,14 @@
         // Probing hundreds of machines every second would cost more than it is worth.
         val probeInterval = maxOf(SERVICE_PROBE_INTERVAL, serviceMachines.size * SECOND / MAX_PROBES_PER_SECOND)
         val late = monitored.filter { timeSinceContact(it) > if (it in serviceMachines) probeInterval else maxHeartbeatGapUs }
-        val (reachable, partitioned) = late.partition { health.hasHintFromZone(zoneOf(it), context.now - ZONE_HINT_TIMEOUT) }
-        (reachable + probeSample(partitioned)).forEach { agents.probe(it.id) }
+        val (inReachableZones, inUnreachableZones) = late.partition { health.hasHintFromZone(zoneOf(it), context.now - ZONE_HINT_TIMEOUT) }
+        (inReachableZones + probeSample(inUnreachableZones)).forEach { agents.probe(it.id) }
     }
 
-    /** Random sample of the [partitioned] machines. A few probes are enough to detect the end of a network partition. */
-    private fun probeSample(partitioned: List<MachineView>): List<MachineView> {
-        if (partitioned.isEmpty()) return emptyList()
-        return List(PARTITION_PROBE_COUNT) { partitioned[context.random.nextInt(partitioned.size)] }
+    /** Random sample of [machines] in unreachable zones. A few probes are enough to detect the end of a network partition. */
+    private fun probeSample(machines: List<MachineView>): List<MachineView> {
+        if (machines.isEmpty()) return emptyList()
+        return List(PARTITION_PROBE_COUNT) { machines[context.random.nextInt(machines.size)] }
     }
 
     private fun releaseIfOverdue(
@@ -125,11 +126,11 @@
      * How long a machine must be unresponsive before it is released, in microseconds.
      *
      * If the machine's zone may be unreachable, a network partition is the likelier fault. A machine is then released only after
-     * its lease has expired, as it has lost its tasks anyway. A controller inside the partitioned zone may renew the lease for a
-     * limited time, which is added.
+     * [PARTITION_LEASE_MULTIPLE] leases, when its agent has certainly killed its tasks. A controller inside the unreachable zone
+     * may renew the lease for a limited time, which is added.
      *
-     * If many machines are unresponsive at once, this controller itself may be partitioned from them. Their agents then send
-     * heartbeats to another controller, which this controller learns from peer hints.
+     * If many machines are unresponsive at once, this controller itself may be separated from them by a network partition. Their
+     * agents then send heartbeats to another controller, which this controller learns from peer hints.
      */
     private fun releaseDelay(
         view: MachineView,
@@ -139,9 +140,10 @@
         val leaseUs = context.settings.leaseUs
         return when {
             !wasZoneReachable -> leaseUs * PARTITION_LEASE_MULTIPLE + LEASE_MARGIN + health.maxPeerRenewalUs(zoneOf(view))
-            // Within this time a controller that can reach the machines adopts them.
+            // While isolated, this controller waits one lease: controllers that can reach the machines take them over within that time.
             agents.isIsolatedFromAgents -> leaseUs + LEASE_MARGIN
-            mayBeOwnNetworkFault -> minOf(maxHeartbeatGapUs + ADOPTION_TIME, leaseUs)
+            // Within this time a controller that can reach the machines takes them over.
+            mayBeOwnNetworkFault -> minOf(maxHeartbeatGapUs + TAKEOVER_TIME, leaseUs)
             else -> 0
         }
     }
@@ -163,11 +165,11 @@
 
     /**
      * Whether calls to [view]'s machine fail although its heartbeats may still arrive: its lease is not renewed and it executes
-     * no commands. A controller that could reach the machine would have adopted it by now, so waiting longer is useless.
+     * no commands. A controller that could reach the machine would have taken it over by now, so waiting longer is useless.
      */
     private fun hasOneWayConnectivity(view: MachineView): Boolean {
         val sinceUs = agents.unreachableSince(view.id) ?: return false
-        return agents.failedCalls(view.id) > MIN_FAILED_CALLS && context.now - sinceUs > maxHeartbeatGapUs + ADOPTION_TIME
+        return agents.failedCalls(view.id) > MIN_FAILED_CALLS && context.now - sinceUs > maxHeartbeatGapUs + TAKEOVER_TIME
     }
 
     private fun zoneOf(view: MachineView): String? = cache.machines[view.id]?.record?.zone
@@ -188,14 +190,14 @@
         const val MAX_PROBES_PER_SECOND = 25
 
         /** An agent's heartbeat times out after 4 s, and the next controller that it contacts answers a second later. */
-        const val ADOPTION_TIME: Micros = 6 * SECOND
+        const val TAKEOVER_TIME: Micros = 6 * SECOND
 
-        /** A zone counts as partitioned if none of its controllers has sent a peer hint for this long. */
+        /** A zone counts as unreachable if none of its controllers has sent a peer hint for this long. */
         const val ZONE_HINT_TIMEOUT: Micros = 3 * SECOND
         const val PARTITION_PROBE_COUNT = 2
 
         /**
-         * Number of leases after which machines in a partitioned zone are released. Lease expiry already proves that their tasks
+         * Number of leases after which machines in an unreachable zone are released. Lease expiry already proves that their tasks
          * have ended, and after the partition the machines are available sooner than new ones would boot. A release after one
          * lease lost 170 machines seconds before the end of a partition.
          */
--- a/src/main/kotlin/mintpick/engine/jobs/JobUpdateWriter.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUpdateWriter.kt
@@ -54,7 +54,7 @@
 
     /**
      * Sends pending submissions and then [drafts] within the write limits. While placements are waiting for writes
-     * ([arePlacementsWaiting]), they alternate with status updates. Returns whether at least one placement was not sent.
+     * ([arePlacementsWaiting]), they alternate with outcome updates. Returns whether at least one placement was not sent.
      */
     fun commit(
         drafts: Collection<JobUpdate>,
--- a/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/JobUrgency.kt
@@ -20,7 +20,7 @@
     private var criticalPaths = newCriticalPaths()
 
     /** Wall-clock time at which this controller first saw that all predecessors of a job are done. */
-    private val releasedSinceUs = HashMap<JobId, Micros>()
+    private val predecessorsDoneUs = HashMap<JobId, Micros>()
 
     /** The urgency of [job]. Its latest start is a wall-clock time. */
     fun of(job: Job): Urgency {
@@ -39,8 +39,8 @@
      */
     fun readySinceUs(job: Job): Micros {
         if (job.spec.predecessorIds.isEmpty()) return job.submittedUs
-        if (releasedSinceUs.size > MAX_RELEASED_JOBS) releasedSinceUs.keys.removeIf { context.cache.job(it) == null }
-        return releasedSinceUs.getOrPut(job.id) { context.wallClockUs }
+        if (predecessorsDoneUs.size > MAX_READY_JOBS) predecessorsDoneUs.keys.removeIf { context.cache.job(it) == null }
+        return predecessorsDoneUs.getOrPut(job.id) { context.wallClockUs }
     }
 
     /** Starts over after a reload of the records, which replaces the cache and its dependency graph. */
@@ -63,6 +63,6 @@
 
     private companion object {
         /** Above this number of entries, those of jobs that have ended are removed. */
-        const val MAX_RELEASED_JOBS = 2_000
+        const val MAX_READY_JOBS = 2_000
     }
 }
--- a/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/PendingRequests.kt
@@ -125,7 +125,7 @@
 
         override fun onCommitted() = answer()
 
-        override fun onNotCommitted() {
+        override fun onNotConfirmed() {
             pending()?.isInFlight = false
         }
     }
--- a/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
+++ b/src/main/kotlin/mintpick/engine/jobs/TransactionSender.kt
@@ -73,12 +73,12 @@
         val sent = ArrayList<TransactionPart>()
         var batch = newBatch()
         for (part in parts) {
-            if (!batch.isEmpty && !batch.hasRoomFor(part)) {
+            if (!batch.isEmpty && !batch.fits(part)) {
                 sendTransaction(batch.parts)
                 batch = newBatch()
             }
             if (!mayWrite(batch, part, reservedWrites)) break
-            if (batch.hasRoomFor(part) && part.valuesFit(formats.maxValueBytes)) {
+            if (batch.fits(part) && part.valuesFit(formats.maxValueBytes)) {
                 batch.add(part)
                 sent += part
             } else {
@@ -151,16 +151,16 @@
             is TransactionResult.Committed -> parts.forEach { it.listener.onCommitted() }
             is TransactionResult.Conflict -> onConflict(parts, result)
             TransactionResult.TooLarge -> onTooLarge(parts)
-            TransactionResult.Refused, TransactionResult.LeaseExpired -> notifyNotCommitted(parts)
+            TransactionResult.Refused, TransactionResult.LeaseExpired -> notifyNotConfirmed(parts)
             TransactionResult.Unknown -> {
                 // The transaction may still be applied later, which its guards make harmless.
-                notifyNotCommitted(parts)
+                notifyNotConfirmed(parts)
                 stateStore.afterCatchUp { }
             }
         }
     }
 
-    private fun notifyNotCommitted(parts: List<TransactionPart>) = parts.forEach { it.listener.onNotCommitted() }
+    private fun notifyNotConfirmed(parts: List<TransactionPart>) = parts.forEach { it.listener.onNotConfirmed() }
 
     /** Makes jobs whose guards failed unavailable until the watch has delivered the conflicting change. */
     private fun onConflict(
@@ -170,7 +170,7 @@
         LOG.debug("transaction conflict keys={} revision={}", result.failed, result.revision)
         val failed = result.failed.toSet()
         for (part in parts) {
-            part.listener.onNotCommitted()
+            part.listener.onNotConfirmed()
             val isOutdated = part.guards.any { it.key in failed }
             if (isOutdated) availability.waitForRevision(part.job, result.revision)
         }
@@ -182,7 +182,7 @@
      * paused, because the same update would be too large again.
      */
     private fun onTooLarge(parts: List<TransactionPart>) {
-        notifyNotCommitted(parts)
+        notifyNotConfirmed(parts)
         if (parts.size > 1) {
             singleJobUntilUs = context.now + SINGLE_JOB_PERIOD
         } else {
--- a/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
+++ b/src/main/kotlin/mintpick/engine/membership/MachineControl.kt
@@ -18,8 +18,8 @@
 ) {
     private val lastRaiseUs = HashMap<String, Micros>()
 
-    /** Callbacks that wait for the outcome of the failover in flight, by shard. */
-    private val failoverWaiters = HashMap<Int, MutableList<() -> Unit>>()
+    /** Callbacks that wait for the outcome of the takeover in flight, by shard. */
+    private val takeoverWaiters = HashMap<Int, MutableList<() -> Unit>>()
     private val cache get() = context.cache
 
     /** See [ShardClaims.takeOver]. */
@@ -48,11 +48,11 @@
         reason: String,
         then: () -> Unit,
     ) {
-        val waiters = failoverWaiters.getOrPut(shard) { ArrayList() }
+        val waiters = takeoverWaiters.getOrPut(shard) { ArrayList() }
         waiters += then
         if (waiters.size > 1) return
         writer.claim(listOf(ClaimTarget(Keys.shard(shard), version)), reason) {
-            failoverWaiters.remove(shard)?.forEach { it() }
+            takeoverWaiters.remove(shard)?.forEach { it() }
         }
     }
 
--- a/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
+++ b/src/main/kotlin/mintpick/engine/membership/PeerHints.kt
@@ -77,21 +77,21 @@
         zone: String?,
         since: Micros,
     ): Boolean {
-        val probePeers = probePeers(zone)
-        return probePeers.isEmpty() || probePeers.any { hasHintSince(it, since) }
+        val evidencePeers = evidencePeers(zone)
+        return evidencePeers.isEmpty() || evidencePeers.any { hasHintSince(it, since) }
     }
 
     fun zoneReachableSince(zone: String?): Micros? {
-        val probePeers = probePeers(zone)
-        if (probePeers.isEmpty()) return 0
-        return probePeers.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
+        val evidencePeers = evidencePeers(zone)
+        if (evidencePeers.isEmpty()) return 0
+        return evidencePeers.mapNotNull { received[NodeId(it.node)] }.filter { it.isRecent() }.minOfOrNull { it.unbrokenSinceUs }
     }
 
     /**
      * Peers whose hints show that [zone] is reachable. For this controller's own zone these are all peers, because this
      * controller may itself be disconnected; likewise for a zone without peers.
      */
-    private fun probePeers(zone: String?): List<Peer> {
+    private fun evidencePeers(zone: String?): List<Peer> {
         val inZone = context.settings.peers.filter { it.zone == zone }
         return if (zone == context.settings.zone || inZone.isEmpty()) context.settings.peers else inZone
     }
--- a/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardClaims.kt
@@ -12,7 +12,7 @@
 import mintpick.wire.Guard
 
 /**
- * Ownership of machines and jobs: which controller commands a machine, and which one places a job.
+ * Ownership of machines and jobs: which controller controls a machine, and which one places a job.
  *
  * Machines and jobs hash into a fixed number of partitions. Each partition has one shard per zone. In a network partition
  * between zones, each side can therefore claim all shards that it can reach, and only those. The claim of a shard is attached
@@ -39,7 +39,7 @@
     /** The partition that the name of a machine or job hashes into; it is the same in every zone. */
     fun partition(name: String): Int = directory.partition(name)
 
-    /** Records the [zone] of [machine]; later values are ignored. No controller commands a machine whose zone is unknown. */
+    /** Records the [zone] of [machine]; later values are ignored. No controller controls a machine whose zone is unknown. */
     fun register(
         machine: MachineId,
         zone: String,
@@ -58,7 +58,7 @@
      */
     fun controlClaim(machine: MachineId): Claim? = directory.controlClaim(machine)
 
-    /** Whether this controller commands [machine]. */
+    /** Whether this controller controls [machine]. */
     fun controls(machine: MachineId): Boolean = directory.controls(machine)
 
     /** Whether this process holds [claim]. Claims of an earlier process of this controller have another lease and do not count. */
--- a/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardDirectory.kt
@@ -68,7 +68,7 @@
     /** See [ShardClaims.isOwn]. */
     fun isOwn(claim: Claim?): Boolean = claim != null && claim.node == context.self && claim.lease == stateStore.lease
 
-    /** Whether this controller commands [machine]. */
+    /** Whether this controller controls [machine]. */
     fun controls(machine: MachineId): Boolean = isOwn(controlClaim(machine))
 
     /** See [ShardClaims.preferredController]. */
--- a/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
+++ b/src/main/kotlin/mintpick/engine/membership/ShardRebalancer.kt
@@ -19,7 +19,7 @@
     private val connectivity: ClusterConnectivity,
 ) {
     private val cache get() = context.cache
-    private val configuredNodes = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
+    private val configuredControllers = (context.settings.peers.map { it.node } + context.settings.node).sorted().map(::NodeId)
     private val isStarting: Boolean get() = context.now - stateStore.servingSinceUs <= START_PERIOD
 
     /** Claims what this controller should own and does not own yet. */
@@ -72,23 +72,23 @@
     private fun claimFreeShards() {
         val free = (0 until directory.shardCount).filter { it !in cache.claims }
         if (free.isEmpty()) return
-        // Shortly after a start, peers are expected to join too: preferences are then based on all configured controllers.
-        val nodes = if (isStarting) configuredNodes else liveNodes()
+        // Shortly after a start, peers are expected to join too: shards are then balanced among all configured controllers.
+        val controllers = if (isStarting) configuredControllers else liveControllers()
         val owned = cache.claims.values.count { it.node == context.self }
-        val share = ceilDiv(directory.shardCount, maxOf(1, nodes.size))
-        val maxWait = maxWaitForPreferred(nodes)
-        val wanted = free.filter { preferredNode(it, nodes) == context.self || claimAges.unclaimedForUs(it) > maxWait }
+        val share = ceilDiv(directory.shardCount, maxOf(1, controllers.size))
+        val maxWait = maxWaitForBalancedOwner(controllers)
+        val wanted = free.filter { balancedOwner(it, controllers) == context.self || claimAges.unclaimedForUs(it) > maxWait }
         val targets = wanted.take((share - owned).coerceAtLeast(0)).map { ClaimTarget(Keys.shard(it), 0) }
         if (targets.isNotEmpty()) writer.claim(targets, "free")
     }
 
-    /** How long a free shard is left to its preferred node. Afterwards the other nodes try to claim it one after the other. */
-    private fun maxWaitForPreferred(nodes: List<NodeId>): Micros {
-        val rank = nodes.indexOf(context.self).coerceAtLeast(0)
+    /** How long a free shard is left to its balanced owner. Afterwards the other controllers try to claim it one after the other. */
+    private fun maxWaitForBalancedOwner(controllers: List<NodeId>): Micros {
+        val rank = controllers.indexOf(context.self).coerceAtLeast(0)
         return (rank + 1) * CLAIM_STAGGER + if (isStarting) START_PERIOD else 0
     }
 
-    /** Claims shards that this controller is preferred for from other owners, if their claims are older than [MIN_CLAIM_AGE]. */
+    /** Takes over the shards whose balanced owner is this controller, if other controllers' claims are older than [MIN_CLAIM_AGE]. */
     private fun rebalance() {
         // Requires hints from all peers, so that the distribution does not change whenever a controller leaves or joins.
         if (context.now - stateStore.servingSinceUs < START_PERIOD) return
@@ -101,17 +101,17 @@
         shard: Int,
         claim: Claim,
     ): Boolean {
-        val isPreferredHere = claim.node != context.self && preferredNode(shard, configuredNodes) == context.self
-        return isPreferredHere && (claimAges.unchangedForUs(shard) ?: 0) > MIN_CLAIM_AGE
+        val belongsHere = claim.node != context.self && balancedOwner(shard, configuredControllers) == context.self
+        return belongsHere && (claimAges.unchangedForUs(shard) ?: 0) > MIN_CLAIM_AGE
     }
 
-    private fun liveNodes(): List<NodeId> = cache.nodes.keys.sortedBy { it.text }
+    private fun liveControllers(): List<NodeId> = cache.nodes.keys.sortedBy { it.text }
 
-    /** The one of [nodes] that owns [shard] when all claims are balanced. */
-    private fun preferredNode(
+    /** The balanced owner of [shard]: the one of [controllers] that owns it when all claims are balanced. */
+    private fun balancedOwner(
         shard: Int,
-        nodes: List<NodeId>,
-    ): NodeId? = if (nodes.isEmpty()) null else nodes[shard % ShardClaims.PARTITIONS % nodes.size]
+        controllers: List<NodeId>,
+    ): NodeId? = if (controllers.isEmpty()) null else controllers[shard % ShardClaims.PARTITIONS % controllers.size]
 
     private fun shardTargets(claims: Map<Int, Claim>): List<ClaimTarget> =
         claims.map { (shard, claim) -> ClaimTarget(Keys.shard(shard), claim.version) }
@@ -125,7 +125,7 @@
         /** Time after this controller has joined during which other controllers are expected to join too. */
         const val START_PERIOD: Micros = 3 * SECOND
 
-        /** Delay between the attempts of successive controllers to claim a shard that they are not preferred for. */
+        /** Delay between the attempts of successive controllers to claim a shard whose balanced owner is another controller. */
         const val CLAIM_STAGGER: Micros = 300 * MILLI
 
         /** Shortest time that a claim must have been unchanged before it is rebalanced. */
--- a/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/CandidateFinder.kt
@@ -58,7 +58,7 @@
             toCandidate(ClaimedMachine(machine, claim, isOwn = false, images), jobUpdates)
         }
 
-    /** Number of placed tasks of [job] in each zone; empty if the job has no zone rule. */
+    /** Number of placed tasks of [job] in each zone; empty if the job has no zone constraint. */
     fun tasksPerZone(job: Job): Map<String, Int> {
         if (!job.spec.spread && !job.spec.oneZone) return emptyMap()
         val counts = HashMap<String, Int>()
@@ -88,7 +88,7 @@
             free = freeResourcesOn(machine.id, type, jobUpdates),
             total = type.capacity,
             hasImage = { view?.hasImage(it) == true || it in claimed.hintedImages },
-            isOwned = claimed.isOwn,
+            isControlled = claimed.isOwn,
             preemptible = cache.usedOn(machine.id) - cache.usedByServicesOn(machine.id),
             isReady = !isAwaitingConfirmation,
         )
--- a/src/main/kotlin/mintpick/engine/scheduling/FairShareRanks.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FairShareRanks.kt
@@ -1,6 +1,6 @@
 package mintpick.engine.scheduling
 
-/** The teams' ranks by fair share. The team to be served first has the lowest; equal teams share a rank. */
+/** The teams' ranks by fair share. The team whose jobs are placed first has the lowest; equal teams share a rank. */
 class FairShareRanks(
     private val byTeam: Map<String, Int>,
 ) {
--- a/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/FaultyJobThrottle.kt
@@ -19,12 +19,12 @@
     /** Whether the backoff after the last failure of [job] is over; true if none of its tasks failed. */
     fun mayRetry(job: JobId): Boolean = reconciler.mayRetry(job)
 
-    /** Number of waiting tasks of [job] that may start now. A faulty job may only run one probe, on its preferred controller. */
+    /** Number of waiting tasks of [job] that may start now. A faulty job may only run one trial task, on its preferred controller. */
     fun startableTasks(job: Job): Int {
         if (!isFaulty(job)) return job.waitingCount
         val preferred = shardClaims.preferredController(job.id)
-        val probesHere = preferred == context.self || preferred == null
-        return if (probesHere) FailureTracker.startableTasks(job.waitingCount, job.placedCount) else 0
+        val runsTrialHere = preferred == context.self || preferred == null
+        return if (runsTrialHere) FailureTracker.startableTasks(job.waitingCount, job.placedCount) else 0
     }
 
     /**
--- a/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/JobPlacer.kt
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Places the tasks of one job: selects machines and drafts the assignments. Event-loop thread only.
+ * Places the tasks of one job: selects machines and drafts their placements. Event-loop thread only.
  *
  * @param placementSample number of machines with free capacity that are compared for one job
  */
@@ -91,7 +91,7 @@
         val draft = pass.draftOf(job.id) ?: return 0
         if (draft.job.stage != StoredStage.OPEN) return 0
         if (isPartial) pass.hasPlacedPartially = true
-        return assign(placeable, draft, candidates, pass)
+        return addPlacements(placeable, draft, candidates, pass)
     }
 
     private fun findMachines(
@@ -121,22 +121,26 @@
         pass: PlacementPass,
     ) {
         for (placement in found) candidates.reserve(placement.machine, job.spec.demand)
-        // Tasks are placed on a borrowed machine only after its previous owner has certainly stopped placing tasks there.
+        // Machines of other controllers are borrowed first; their tasks are placed in a later pass.
         for (placement in found) {
-            if (candidates[placement.machine]?.isOwned == false) pass.machinesToBorrow += placement.machine
+            if (candidates[placement.machine]?.isControlled == false) pass.machinesToBorrow += placement.machine
         }
     }
 
+    /**
+     * Whether tasks may be placed on [machine] in this pass. Tasks are placed on a borrowed machine only after its previous owner
+     * has certainly stopped placing tasks there.
+     */
     private fun isReadyForTasks(
         machine: MachineId,
         candidates: Candidates,
     ): Boolean {
         val candidate = candidates[machine] ?: return false
-        return candidate.isOwned && candidate.isReady
+        return candidate.isControlled && candidate.isReady
     }
 
     /** Adds as many of [placements] to [draft] as fit into a transaction, and returns the number added. */
-    private fun assign(
+    private fun addPlacements(
         placements: List<PlacedTask>,
         draft: JobUpdate,
         candidates: Candidates,
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementPass.kt
@@ -42,7 +42,7 @@
     val machinesToBorrow = LinkedHashSet<MachineId>()
 
     /** Jobs that were not placed or only partially, in queue order. */
-    val unschedulable = ArrayList<Job>()
+    val notFullyPlaced = ArrayList<Job>()
 
     /** Number of writes that the placements of this pass need so far. */
     var writesUsed = 0
--- a/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PlacementScopePolicy.kt
@@ -63,7 +63,7 @@
 
     /**
      * Whether this controller may place [job] because [preferred] may lack capacity. The two other controllers have different delays,
-     * so they rarely write at the same time.
+     * so they rarely write at the same time. Assumes three controllers in the settings.
      */
     private fun mayPlaceForPeer(
         job: Job,
@@ -74,7 +74,7 @@
         return health.mayLackCapacity(preferred) && unchangedUs >= delay
     }
 
-    /** The job's id determines which of the two other controllers may place the job first. */
+    /** The job's id determines which of the two other controllers may place the job first. Assumes three controllers in the settings. */
     private fun isFirstFallback(
         job: Job,
         preferred: NodeId,
@@ -93,8 +93,9 @@
         const val SECOND_FALLBACK_DELAY: Micros = 1_500 * MILLI
 
         /**
-         * How long the record of an array must be unchanged before the leader places it because it fits on no single controller's
-         * machines. While a cluster boots, nothing fits anywhere.
+         * How long the record of a job must be unchanged before the leader considers the machines of all controllers for it. While a
+         * cluster boots, nothing fits anywhere. Gangs and one-zone jobs are considered after [SECOND_FALLBACK_DELAY]; a gang that
+         * would fit on empty machines of one controller also waits this long.
          */
         const val LEADER_FALLBACK_DELAY: Micros = 15 * SECOND
     }
--- a/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/PreemptionPlanner.kt
@@ -51,7 +51,7 @@
         val lostCpuMicros: Double,
     )
 
-    private val assignmentAges = AssignmentAges(context)
+    private val placementAges = PlacementAges(context)
 
     /** When preemption for a job may be attempted again. */
     private val jobCooldownUntilUs = HashMap<JobId, Micros>()
@@ -60,9 +60,9 @@
     private val machineCooldownUntilUs = HashMap<MachineId, Micros>()
     private val cache get() = context.cache
 
-    /** Records new assignments on [changedMachines]. */
+    /** Records new placements on [changedMachines]. */
     fun tick(changedMachines: Collection<MachineId>) {
-        assignmentAges.observe(changedMachines)
+        placementAges.observe(changedMachines)
         if (jobCooldownUntilUs.size > CLEANUP_THRESHOLD) jobCooldownUntilUs.values.removeIf { it < context.now }
     }
 
@@ -107,7 +107,7 @@
             .mapNotNull { planOn(it, spec.demand, preemptor) }
             .minByOrNull { it.lostCpuMicros }
 
-    /** The most recently assigned tasks to preempt on [candidate] until [demand] fits; null if it can't fit, or fits already. */
+    /** The most recently placed tasks to preempt on [candidate] until [demand] fits; null if it can't fit, or fits already. */
     private fun planOn(
         candidate: CandidateMachine,
         demand: Resources,
@@ -120,14 +120,14 @@
             if (demand.fits(free)) break
             val spec = cache.job(victim.attempt.task.job)?.spec ?: continue
             free += spec.demand
-            lostCpuMicros += assignmentAges.ageUs(victim.attempt).toDouble() * spec.cpus
+            lostCpuMicros += placementAges.ageUs(victim.attempt).toDouble() * spec.cpus
             victims += victim
         }
         if (victims.isEmpty() || !demand.fits(free)) return null
         return Plan(candidate, victims, lostCpuMicros)
     }
 
-    /** Tasks on [machine] that may be preempted for [preemptor]. The latest assignment comes first, since it loses the least work. */
+    /** Tasks on [machine] that may be preempted for [preemptor]. The latest placement comes first, since it loses the least work. */
     private fun victimsOn(
         machine: MachineId,
         preemptor: Preemptor,
@@ -137,7 +137,7 @@
             .map { (task, attempt) -> AttemptId(task, attempt) }
             .filter { it !in commandPlanner.stopping }
             .mapNotNull { attempt -> reasonToPreempt(attempt, preemptor)?.let { Victim(attempt, it) } }
-            .sortedByDescending { assignmentAges.firstSeenUs(it.attempt) }
+            .sortedByDescending { placementAges.firstSeenUs(it.attempt) }
 
     private fun reasonToPreempt(
         attempt: AttemptId,
@@ -155,9 +155,9 @@
         val spec = job.spec
         val fetchUs = imageFetchUs(job, attempt)
         val minimumRuntimeUs = FundingPolicy.minimumRuntime(spec, fetchUs, operators.minimumRuntimeCapUs)
-        val isExpired = assignmentAges.ageUs(attempt) > minimumRuntimeUs
+        val isPastMinimumRuntime = placementAges.ageUs(attempt) > minimumRuntimeUs
         val isOverShare = usageAccounting.isOverShare(spec.team)
-        return RunningTask(spec.team, spec.priority, usageAccounting.isFunded(job.id), isExpired, isOverShare)
+        return RunningTask(spec.team, spec.priority, usageAccounting.isFunded(job.id), isPastMinimumRuntime, isOverShare)
     }
 
     /** Time that the type of machine under [attempt] takes to fetch the image of [job]; 0 if it is unknown. */
--- a/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/QueuePosition.kt
@@ -12,7 +12,7 @@
     private val isFunded: Boolean,
     /** The highest priority of the job and all its successors. */
     private val priority: Priority,
-    /** The team's rank by fair share; the team to be served first has the lowest. */
+    /** The team's rank by fair share; the team whose jobs are placed first has the lowest. */
     private val fairShareRank: Int,
     /** Wall-clock time that counts as the job's arrival among the jobs of its team. */
     private val effectiveArrivalUs: Micros,
--- a/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/Scheduler.kt
@@ -12,7 +12,7 @@
 import mintpick.engine.transactions.JobUpdate
 
 /**
- * Assigns the tasks of waiting jobs to machines, in passes over the queue. [JobQueue] determines the order, [PlacementScopePolicy]
+ * Places the tasks of waiting jobs on machines, in passes over the queue. [JobQueue] determines the order, [PlacementScopePolicy]
  * the jobs that this controller may place, and [CandidateFinder] the machines. [JobPlacer] places each job, and [PreemptionPlanner]
  * frees capacity where there is none. Event-loop thread only.
  */
@@ -30,7 +30,7 @@
     private val jobRecordAges = JobRecordAges(context)
 
     /** Jobs that were not placed or only partially in the last pass, in queue order. */
-    var unschedulable: List<Job> = emptyList()
+    var notFullyPlaced: List<Job> = emptyList()
         private set
 
     /** Whether a job was not placed in the last pass for lack of capacity here, as opposed to lack of write budget. */
@@ -55,7 +55,7 @@
     /** Whether [job] may currently be placed on spot machines only. */
     fun isSpotOnly(job: Job): Boolean = jobPlacer.isSpotOnly(job)
 
-    /** Number of placed tasks of [job] in each zone; empty if the job has no zone rule. */
+    /** Number of placed tasks of [job] in each zone; empty if the job has no zone constraint. */
     fun tasksPerZone(job: Job): Map<String, Int> = candidateFinder.tasksPerZone(job)
 
     /** Resources that teams may still use under their limits, according to the records. */
@@ -78,14 +78,14 @@
         val waiting = waitingJobs(drafts)
         jobRecordAges.retain(waiting.keys)
         if (waiting.isEmpty()) {
-            unschedulable = emptyList()
+            notFullyPlaced = emptyList()
             lacksCapacity = false
             return
         }
         val pass = newPass(jobUpdates, draftOf, waiting.size)
         for (job in inQueueOrder(waiting.values)) scheduleJob(job, pass)
         if (pass.hasPlacedPartially) passRateLimiter.onPartialPlacement()
-        unschedulable = pass.unschedulable
+        notFullyPlaced = pass.notFullyPlaced
         lacksCapacity = pass.lacksCapacity
         lacksWriteBudget = pass.lacksWriteBudget
         jobPlacer.borrowMachines(pass)
@@ -135,12 +135,12 @@
         if (!hasWriteBudget && !job.spec.isProduction) {
             // No further jobs are checked after one that could be placed.
             pass.lacksWriteBudget = pass.lacksWriteBudget || (candidates != null && jobPlacer.couldPlace(job, candidates, pass))
-            pass.unschedulable += job
+            pass.notFullyPlaced += job
             return
         }
         val placed = if (candidates == null) 0 else jobPlacer.place(job, startable, candidates, pass)
         if (placed >= startable) return
-        pass.unschedulable += job
+        pass.notFullyPlaced += job
         if (placed == 0 && candidates != null && hasWriteBudget && pass.teamAllows(job)) onNoCapacity(job, unchangedUs, candidates, pass)
     }
 
--- a/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
+++ b/src/main/kotlin/mintpick/engine/scheduling/UsageAccounting.kt
@@ -96,7 +96,10 @@
         return total
     }
 
-    /** Share-seconds that [team] has used in the window: as of the last refresh here, and as of their last summaries for peers. */
+    /**
+     * Share-seconds that [team] has used in the window, up to [REFRESH_INTERVAL] old: this controller's own charges plus the last
+     * summaries stored by its peers.
+     */
     fun usageOf(team: String): Double {
         refresh()
         return usageByTeam[team] ?: 0.0
@@ -112,7 +115,7 @@
 
     private fun sumUsage(): Map<String, Double> {
         val sums = HashMap<String, Double>()
-        for (team in teams) sums[team.name] = window.use(team.name)
+        for (team in teams) sums[team.name] = window.usageOf(team.name)
         val oldestSlot = window.slotOf(context.wallClockUs - operators.windowUs)
         for (node in cache.usage.keys) {
             if (node == context.self) continue
--- a/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
+++ b/src/main/kotlin/mintpick/engine/state/MachineListLayout.kt
@@ -11,7 +11,7 @@
 /**
  * Distributes the machine list of one partition over records (pieces) that each fit into a value of [maxBytes].
  *
- * A new machine is added to the first piece with room for it, or to a new piece if there is none. Pieces are not filled
+ * A new machine is added to the first piece with space for it, or to a new piece if there is none. Pieces are not filled
  * completely, so that each of their machines can still be marked as retiring. A piece that exceeds the size of a value, for
  * example after the limits were lowered, is split in the transaction that changes it. Otherwise machines never move between
  * pieces, so a reader that receives the pieces one at a time never misses a machine.
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Marks a machine as [retiring]. Returns false if the machine is not listed, or if its piece has no room for the mark until
-     * other machines of the piece have been removed.
+     * Marks a machine as [retiring]. Returns false if the machine is not listed, or if the mark does not fit into its
+     * piece until other machines of the piece have been removed.
      */
     fun markRetiring(
         id: MachineId,
@@ -172,7 +172,7 @@
         /** The longest retiring mark, with quotes, colon and comma. */
         const val MARK_BYTES = 12
 
-        /** How far new machines may fill a piece, as a fraction of a value's size. Only in the verbose format do marks need extra room. */
+        /** How far new machines may fill a piece, as a fraction of a value's size. Only in the verbose format do marks need extra space. */
         const val VERBOSE_FILL_RATIO = 0.5
         const val COMPACT_FILL_RATIO = 0.85
     }
--- a/src/main/kotlin/mintpick/engine/state/RecordFormatNegotiator.kt
+++ b/src/main/kotlin/mintpick/engine/state/RecordFormatNegotiator.kt
@@ -70,7 +70,7 @@
         /** Level of a controller without an announcement; lower than the level of every format. */
         const val NOT_ANNOUNCED = 0
 
-        /** Less than 1024, to leave room for what surrounds a value in a request. */
+        /** Less than 1024, to leave space for what surrounds a value in a request. */
         const val BYTES_PER_KB = 1000
     }
 }
--- a/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/JobUpdate.kt
@@ -58,7 +58,7 @@
         requeuedAttempts += AttemptId(TaskId(before.id, task), placement.attempt)
     }
 
-    /** Places task number [task] on [machine]. Returns false if it is not waiting, or if the transaction has no room for its chunk. */
+    /** Places task number [task] on [machine]. Returns false if it is not waiting, or if its chunk does not fit into the transaction. */
     fun place(
         task: Int,
         machine: MachineId,
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Adds guards for machines. Returns false if the transaction has no room for them; the changes that need them then have to
+     * Adds guards for machines. Returns false if they do not fit into the transaction; the changes that need them then have to
      * wait for the next one.
      */
     fun addMachineGuards(added: List<Guard>): Boolean {
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionBatch.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionBatch.kt
@@ -22,13 +22,13 @@
     fun writesWith(part: TransactionPart): Int = writes + part.writes.size + reservationsWith(part)
 
     /** Whether the transaction stays within all limits if [part] is added. */
-    fun hasRoomFor(part: TransactionPart): Boolean =
+    fun fits(part: TransactionPart): Boolean =
         (isEmpty || allowsMultipleParts) &&
             writesWith(part) <= limits.maxChanges &&
             guardsWith(part) <= limits.maxGuards &&
             bytes + part.bytes <= MAX_BYTES
 
-    /** Adds [part]. [hasRoomFor] must have returned true for it. */
+    /** Adds [part]. [fits] must have returned true for it. */
     fun add(part: TransactionPart) {
         added += part
         guards += part.guards
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionLimits.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionLimits.kt
@@ -2,7 +2,7 @@
 
 import mintpick.core.Job
 
-/** Limits of one transaction of the state store. Job updates must leave room for the records that are written with them. */
+/** Limits of one transaction of the state store. Job updates must leave space for the records that are written with them. */
 class TransactionLimits(
     /** Maximum number of changes in one transaction. */
     val maxChanges: Int,
--- a/src/main/kotlin/mintpick/engine/transactions/TransactionPart.kt
+++ b/src/main/kotlin/mintpick/engine/transactions/TransactionPart.kt
@@ -15,14 +15,14 @@
 
 /** Receives the outcome of a [TransactionPart]. For a part that is planned but never sent, no function is called. */
 internal interface TransactionListener {
-    /** The part was sent to the state store; [onCommitted] or [onNotCommitted] follows. */
+    /** The part was sent to the state store; [onCommitted] or [onNotConfirmed] follows. */
     fun onSent()
 
     /** The part was committed. */
     fun onCommitted()
 
     /** The part was refused or its outcome is unknown; it has to be planned again. */
-    fun onNotCommitted()
+    fun onNotConfirmed()
 
     /** Ignores the outcome. */
     object None : TransactionListener {
@@ -30,7 +30,7 @@
 
         override fun onCommitted() = Unit
 
-        override fun onNotCommitted() = Unit
+        override fun onNotConfirmed() = Unit
     }
 }
 
--- a/src/main/kotlin/mintpick/net/HttpCaller.kt
+++ b/src/main/kotlin/mintpick/net/HttpCaller.kt
@@ -25,8 +25,8 @@
     private val idle = IdleConnections()
 
     /**
-     * Queues [call] and returns without waiting for the network. Its outcome is passed on together with [id]. If the queue is full,
-     * the outcome is [Outcome.NotSent] and is passed on before this function returns.
+     * Queues [call] and returns without waiting for the network. Its outcome is passed on together with [id]. If the queue is full
+     * or [stop] was called, the outcome is [Outcome.NotSent] and is passed on before this function returns.
      */
     fun start(
         id: Long,
--- a/src/main/kotlin/mintpick/net/JdkServer.kt
+++ b/src/main/kotlin/mintpick/net/JdkServer.kt
@@ -22,8 +22,8 @@
 
 /**
  * HTTP server on one address: the JDK's server with http4k's messages. A request that waits for its response occupies a connection
- * but no thread. Otherwise hundreds of agents that switch to one controller at the same time, each waiting for the write that adopts
- * its machine, would occupy all threads and block users and health checks.
+ * but no thread. Otherwise hundreds of agents that switch to one controller at the same time, each waiting for the write that takes
+ * over its machine, would occupy all threads and block users and health checks.
  *
  * Must be started and stopped by the same thread. The server's threads are daemons.
  *
--- a/src/main/kotlin/mintpick/store/Keys.kt
+++ b/src/main/kotlin/mintpick/store/Keys.kt
@@ -42,7 +42,7 @@
     fun borrow(machine: String) = BORROW + machine
 
     /**
-     * The machines of one partition of the fleet: a `FleetRecord`. A list that is too large for one value is split into pieces;
+     * The machines of one partition of the machine names: a `FleetRecord`. A list that is too large for one value is split into pieces;
      * the key of piece 0 has no piece number.
      */
     fun machineList(
@@ -120,7 +120,7 @@
             val machine: String,
         ) : Subject
 
-        /** Piece [piece] of the machine list of fleet partition [partition]. */
+        /** Piece [piece] of the machine list of partition [partition]. */
         data class MachineList(
             val partition: Int,
             val piece: Int = 0,
--- a/src/main/kotlin/mintpick/store/RecordCodec.kt
+++ b/src/main/kotlin/mintpick/store/RecordCodec.kt
@@ -113,7 +113,7 @@
         return Job(id, spec, record.stage, record.submittedUs, info, furtherChunks + (0 to first))
     }
 
-    /** Returns the record of one piece of a fleet partition's machine list (`Keys.machineList`). */
+    /** Returns the record of one piece of a partition's machine list (`Keys.machineList`). */
     fun machineListJson(
         machines: Map<MachineId, MachineRecord>,
         format: RecordFormat,
--- a/src/main/kotlin/mintpick/store/SpecPieces.kt
+++ b/src/main/kotlin/mintpick/store/SpecPieces.kt
@@ -12,7 +12,7 @@
 import java.util.zip.InflaterInputStream
 
 /**
- * Splits a large job specification into pieces. If a specification leaves no room for the job's tasks in one value, for
+ * Splits a large job specification into pieces. If a specification leaves no space for the job's tasks in one value, for
  * example because it names hundreds of predecessors, it is stored in separate records (`Keys.spec`): compressed, and cut into
  * texts that each fit into a value.
  */
--- a/src/main/kotlin/mintpick/users/UnansweredRequests.kt
+++ b/src/main/kotlin/mintpick/users/UnansweredRequests.kt
@@ -45,7 +45,7 @@
 
     /**
      * Enqueues a user request. User requests above [maxUserRequests] are refused, so that the event loop's queue always has
-     * room for heartbeats and peer hints.
+     * capacity for heartbeats and peer hints.
      */
     fun enqueueUserRequest(
         respond: Respond,
--- a/src/main/kotlin/mintpick/wire/AgentApi.kt
+++ b/src/main/kotlin/mintpick/wire/AgentApi.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** State of a task in an agent's heartbeat (`stage`). */
+/** State of a task in a machine's status (`stage`). */
 @Serializable
 enum class TaskState {
     /** Waiting for its image. */
@@ -26,7 +26,7 @@
     EXITED,
 }
 
-/** Reason why a task has exited, in an agent's heartbeat (`cause`). */
+/** Reason why a task has exited, in a machine's status (`cause`). */
 @Serializable
 enum class ExitCause {
     /** Completed. */
@@ -74,10 +74,10 @@
 )
 
 /**
- * Heartbeat of an agent, which describes its machine: the body of `POST /checkin`, and of the agent's answers to
- * `POST /commands` and `GET /inspect`.
+ * Status of a machine: sent as a heartbeat (`POST /checkin`) and as the agent's answer to `POST /commands` and
+ * `GET /inspect`.
  *
- * [agentEpoch] (`shift`) increases when the agent's lease expires. Of two heartbeats the one with the larger pair
+ * [agentEpoch] (`shift`) increases when the agent's lease expires. Of two statuses the one with the larger pair
  * ([agentEpoch], [seq]) is the newer one. [token] (`baton`) is the highest fencing token that the agent has received.
  * [noticeS] (`warning_s`) is the time in seconds until the cloud reclaims the machine, or null if it has not announced that.
  */
@@ -106,7 +106,7 @@
     @SerialName("stop")
     STOP,
 
-    /** Remove an exited task from the heartbeats. */
+    /** Remove an exited task from the status. */
     @SerialName("reap")
     REMOVE,
 }
--- a/src/main/kotlin/mintpick/wire/Records.kt
+++ b/src/main/kotlin/mintpick/wire/Records.kt
@@ -53,7 +53,7 @@
 /**
  * Value of a piece of a machine list in the state store: machines that have sent a heartbeat.
  *
- * One record holds many machines, because a change of a third of the fleet must not require a write for each machine.
+ * One record holds many machines, because a change of a third of the machines must not require a write for each machine.
  * [retiring] holds the machines that will be released.
  */
 @Serializable
@@ -111,7 +111,7 @@
     @SerialName("drain")
     DRAIN,
 
-    /** Lost or faulty: released immediately. */
+    /** Lost: released immediately, without draining. */
     @SerialName("now")
     NOW,
 }
--- a/src/main/kotlin/mintpick/wire/Wire.kt
+++ b/src/main/kotlin/mintpick/wire/Wire.kt
@@ -30,6 +30,6 @@
     /** Served by an agent: direct commands. */
     const val COMMANDS = "/commands"
 
-    /** Served by an agent: its current heartbeat on request. */
+    /** Served by an agent: its current status on request. */
     const val INSPECT = "/inspect"
 }
--- a/src/test/kotlin/mintpick/core/FairShareTest.kt
+++ b/src/test/kotlin/mintpick/core/FairShareTest.kt
@@ -43,9 +43,9 @@
         window.add("a", 5.0, 0)
         window.add("a", 3.0, 500 * SECOND)
         window.expire(590 * SECOND)
-        assertEquals(8.0, window.use("a"))
+        assertEquals(8.0, window.usageOf("a"))
         window.expire(700 * SECOND)
-        assertEquals(3.0, window.use("a"))
+        assertEquals(3.0, window.usageOf("a"))
     }
 
     @Test
--- a/src/test/kotlin/mintpick/core/MachineViewTest.kt
+++ b/src/test/kotlin/mintpick/core/MachineViewTest.kt
@@ -26,19 +26,19 @@
     @Test
     fun `an older status never replaces a newer one`() {
         val view = view()
-        assertTrue(view.applyStatus(status(7), 1, isResponse = false))
-        assertFalse(view.applyStatus(status(6), 2, isResponse = false))
-        assertFalse(view.applyStatus(status(7), 2, isResponse = true))
-        assertTrue(view.applyStatus(status(1, agentEpoch = 2), 3, isResponse = false))
-        assertFalse(view.applyStatus(status(99), 4, isResponse = false))
+        assertTrue(view.applyStatus(status(7), 1, isDirectAnswer = false))
+        assertFalse(view.applyStatus(status(6), 2, isDirectAnswer = false))
+        assertFalse(view.applyStatus(status(7), 2, isDirectAnswer = true))
+        assertTrue(view.applyStatus(status(1, agentEpoch = 2), 3, isDirectAnswer = false))
+        assertFalse(view.applyStatus(status(99), 4, isDirectAnswer = false))
     }
 
     @Test
     fun `a missing attempt proves nothing while a start of an earlier controller may still arrive`() {
         val view = view()
-        view.applyStatus(status(1, token = 4), 1, isResponse = false)
+        view.applyStatus(status(1, token = 4), 1, isDirectAnswer = false)
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.applyStatus(status(2, token = 5), 2, isResponse = false)
+        view.applyStatus(status(2, token = 5), 2, isDirectAnswer = false)
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
@@ -46,14 +46,14 @@
     fun `a start that timed out prevents proof and forgetting until the token or the agent epoch increases`() {
         for ((token, agentEpoch) in listOf(6L to 1L, 5L to 2L)) {
             val view = view()
-            view.applyStatus(status(1), 1, isResponse = false)
+            view.applyStatus(status(1), 1, isDirectAnswer = false)
             view.recordStartSent(attempt, 5, 1)
             view.recordStartTimeout(attempt)
-            view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isResponse = false)
+            view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isDirectAnswer = false)
             assertEquals(Proof.None, view.proof(attempt, 5))
             assertFalse(view.mayForget(attempt, 5))
             assertTrue(view.needsHigherToken)
-            view.applyStatus(status(3, token, agentEpoch), 3, isResponse = false)
+            view.applyStatus(status(3, token, agentEpoch), 3, isDirectAnswer = false)
             assertEquals(Proof.Ended(null), view.proof(attempt, token))
         }
     }
@@ -61,19 +61,19 @@
     @Test
     fun `a start in a heartbeat response may arrive until the next heartbeat`() {
         val view = view()
-        view.applyStatus(status(1), 1, isResponse = false)
-        view.recordStartsInResponse(setOf(attempt))
+        view.applyStatus(status(1), 1, isDirectAnswer = false)
+        view.recordStartsInAnswer(setOf(attempt))
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.applyStatus(status(2), 2, isResponse = true)
+        view.applyStatus(status(2), 2, isDirectAnswer = true)
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.applyStatus(status(3), 3, isResponse = false)
+        view.applyStatus(status(3), 3, isDirectAnswer = false)
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
     @Test
     fun `completion is proven with any token`() {
         val view = view()
-        view.applyStatus(status(1, 1, 1, exited(ExitCause.DONE)), 1, isResponse = false)
+        view.applyStatus(status(1, 1, 1, exited(ExitCause.DONE)), 1, isDirectAnswer = false)
         assertEquals(Proof.Completed, view.proof(attempt, 9))
         assertFalse(view.mayForget(attempt, 9))
     }
@@ -93,15 +93,15 @@
         val lease = 18 * SECOND
         val late = 40 * SECOND
         val view = view()
-        view.applyStatus(status(1, token = 4), SECOND, isResponse = false)
-        view.recordHeartbeatResponse(SECOND)
+        view.applyStatus(status(1, token = 4), SECOND, isDirectAnswer = false)
+        view.recordHeartbeatAnswered(SECOND)
         assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "the agent still accepts the lower token of an earlier controller")
-        view.applyStatus(status(2, token = 5), 2 * SECOND, isResponse = false)
-        view.recordHeartbeatResponse(2 * SECOND)
+        view.applyStatus(status(2, token = 5), 2 * SECOND, isDirectAnswer = false)
+        view.recordHeartbeatAnswered(2 * SECOND)
         assertTrue(view.hasLeaseExpired(late, 0, 5, lease))
         assertFalse(view.hasLeaseExpired(late, 3 * SECOND, 5, lease), "other controllers may have responded before control began")
         assertFalse(view.hasLeaseExpired(20 * SECOND, 0, 5, lease), "too early")
-        view.applyStatus(status(3, token = 5), 30 * SECOND, isResponse = false)
+        view.applyStatus(status(3, token = 5), 30 * SECOND, isDirectAnswer = false)
         assertFalse(view.hasLeaseExpired(late, 0, 5, lease), "a newer status was received")
     }
 
@@ -112,11 +112,11 @@
     @Test
     fun `an attempt is not forgotten while its start may still arrive in a heartbeat response`() {
         val view = view()
-        view.applyStatus(status(1), 1, isResponse = false)
-        view.recordStartsInResponse(setOf(attempt))
-        view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isResponse = true)
+        view.applyStatus(status(1), 1, isDirectAnswer = false)
+        view.recordStartsInAnswer(setOf(attempt))
+        view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isDirectAnswer = true)
         assertFalse(view.mayForget(attempt, 5))
-        view.applyStatus(status(3, 5, 1, exited(ExitCause.STOPPED)), 3, isResponse = false)
+        view.applyStatus(status(3, 5, 1, exited(ExitCause.STOPPED)), 3, isDirectAnswer = false)
         assertTrue(view.mayForget(attempt, 5))
     }
 
@@ -127,11 +127,11 @@
     @Test
     fun `a start in a heartbeat response is void after the agent epoch increases`() {
         val view = view()
-        view.applyStatus(status(1), 1, isResponse = false)
-        view.recordStartsInResponse(setOf(attempt))
-        view.applyStatus(status(2), 2, isResponse = true)
+        view.applyStatus(status(1), 1, isDirectAnswer = false)
+        view.recordStartsInAnswer(setOf(attempt))
+        view.applyStatus(status(2), 2, isDirectAnswer = true)
         assertEquals(Proof.None, view.proof(attempt, 5))
-        view.applyStatus(status(3, agentEpoch = 2), 3, isResponse = true)
+        view.applyStatus(status(3, agentEpoch = 2), 3, isDirectAnswer = true)
         assertEquals(Proof.Ended(null), view.proof(attempt, 5))
     }
 
@@ -139,15 +139,15 @@
     @Test
     fun `the response to a repeated start does not resolve a start that timed out`() {
         val view = view()
-        view.applyStatus(status(1), 1, isResponse = false)
+        view.applyStatus(status(1), 1, isDirectAnswer = false)
         view.recordStartSent(attempt, 5, 1)
         view.recordStartTimeout(attempt)
         view.recordStartSent(attempt, 5, 1)
         view.recordStartResolved(attempt)
-        view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isResponse = true)
+        view.applyStatus(status(2, 5, 1, exited(ExitCause.STOPPED)), 2, isDirectAnswer = true)
         assertFalse(view.mayForget(attempt, 5))
         assertTrue(view.needsHigherToken)
-        view.applyStatus(status(3, 6, 1, exited(ExitCause.STOPPED)), 3, isResponse = false)
+        view.applyStatus(status(3, 6, 1, exited(ExitCause.STOPPED)), 3, isDirectAnswer = false)
         assertFalse(view.needsHigherToken)
     }
 }
--- a/src/test/kotlin/mintpick/dependencies/DependencyGraphTest.kt
+++ b/src/test/kotlin/mintpick/dependencies/DependencyGraphTest.kt
@@ -32,7 +32,7 @@
         }
         return when {
             predecessors.any(isCancelled) -> Readiness.CANCELLED
-            predecessors.all { finalStates[it] == PredecessorState.DONE } -> Readiness.RELEASED
+            predecessors.all { finalStates[it] == PredecessorState.DONE } -> Readiness.READY
             else -> Readiness.WAITING
         }
     }
--- a/src/test/kotlin/mintpick/engine/capacity/DemandAggregationTest.kt
+++ b/src/test/kotlin/mintpick/engine/capacity/DemandAggregationTest.kt
@@ -12,12 +12,12 @@
         cpus: Double = 1.0,
         oneZone: Boolean = false,
         perZone: Map<String, Int> = emptyMap(),
-        keepsToSpot: Boolean = false,
+        spotOnly: Boolean = false,
     ) = CapacityDemand(
         SampleJobs.spec(tasks = count, cpus = cpus, oneZone = oneZone).copy(id = id),
         count,
         perZone,
-        spotOnly = keepsToSpot,
+        spotOnly = spotOnly,
     )
 
     private fun aggregated(vararg demands: CapacityDemand): List<String> =
@@ -38,6 +38,6 @@
 
     @Test
     fun `demands that may use different machines are not aggregated`() {
-        assertEquals(listOf("a:2:2", "b:2:2"), aggregated(demand("a", 2), demand("b", 2, keepsToSpot = true)))
+        assertEquals(listOf("a:2:2", "b:2:2"), aggregated(demand("a", 2), demand("b", 2, spotOnly = true)))
     }
 }
