--- a/src/test/kotlin/mintpick/simulation/AgentPartitionTest.kt
+++ b/src/test/kotlin/mintpick/simulation/AgentPartitionTest.kt
@@ -13,38 +13,45 @@
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** A controller that loses its workers alone, for longer than it takes to hand them over and back. */
+/**
+ * A network partition separates one controller from all agents, but not from its peers, the state store and the cloud. It lasts
+ * longer than it takes to move shards to other controllers and back.
+ */
 class AgentPartitionTest {
-    /** All that tells it of the cut goes while the cut lasts: it must not take shards back, whose workers would lose their leases. */
+    /**
+     * The machines whose calls failed are removed during the partition, so no failed call shows the isolation any more. The
+     * controller must not claim shards back nevertheless, or the leases of their agents would expire: see
+     * `ReachabilityTracker.isIsolatedFromAgents`.
+     */
     @TestFactory
-    fun `a controller without workers takes none back before it reaches one`() =
-        (61L..64L).map { seed -> DynamicTest.dynamicTest("seed $seed") { staysCutOff(seed) } }
+    fun `a controller that reaches no agent claims no shards back until it reaches one`() =
+        (61L..64L).map { seed -> DynamicTest.dynamicTest("seed $seed") { checkIsolatedController(seed) } }
 
-    private fun staysCutOff(seed: Long) {
+    private fun checkIsolatedController(seed: Long) {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 120)) { SampleJobs.settings(it) }
         (1..60).forEach { n ->
             cluster.after(n * SECOND / 8) { cluster.user(SampleJobs.service(n, team = "blue", tasks = 3, cpus = 2.0), null) }
         }
         cluster.run(60 * SECOND)
-        val cut = cluster.leader()
-        cut.cutFromWorkers = true
+        val isolated = cluster.leader()
+        isolated.cutFromWorkers = true
         cluster.run(85 * SECOND)
-        val sessions = cluster.workers.values.associate { it.id to it.session }
-        // All machines whose calls had failed go, a few at a time, while new ones come.
+        val epochsBefore = cluster.workers.values.associate { it.id to it.session }
+        // Removes all machines, including those whose calls failed, four per second, while new ones are rented.
         cluster.workers.keys
             .toList()
             .chunked(4)
-            .forEachIndexed { n, gone -> cluster.after(n * SECOND) { gone.forEach(cluster::remove) } }
+            .forEachIndexed { n, removed -> cluster.after(n * SECOND) { removed.forEach(cluster::remove) } }
         (101..130).forEach { n ->
             cluster.after((n - 100) * SECOND) { cluster.user(SampleJobs.service(n, team = "blue", tasks = 3, cpus = 2.0), null) }
         }
         cluster.run(150 * SECOND)
-        val lapsed = cluster.workers.values.filter { it.session > (sessions[it.id] ?: 1) }
-        assertEquals(emptyList<String>(), lapsed.map { it.id }, "machines whose leases lapsed although others could serve them")
-        cut.cutFromWorkers = false
+        val expired = cluster.workers.values.filter { it.session > (epochsBefore[it.id] ?: 1) }
+        assertEquals(emptyList<String>(), expired.map { it.id }, "machines with expired leases that others could serve")
+        isolated.cutFromWorkers = false
         cluster.rules.faultsOverSinceUs = cluster.now
         cluster.run(215 * SECOND)
-        assertTrue(cluster.claimsOf(cut) > 0, "it serves again")
+        assertTrue(cluster.claimsOf(isolated) > 0, "the controller owns no shard after the partition")
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/BacklogTest.kt
+++ b/src/test/kotlin/mintpick/simulation/BacklogTest.kt
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** More work waits than there is room for, and the limit on writes to the state service is what holds it up. */
+/** More tasks are waiting than the fleet has capacity for, and the write limit of the state store delays their placement. */
 class BacklogTest {
     private fun cluster(
         seed: Long,
@@ -20,17 +20,20 @@
         Settings.parse(SampleJobs.toml(index).replace("write_rps = 40.0", "write_rps = $writesPerSecond"))
     }
 
-    private fun SimulatedCluster.empty(): Int = workers.keys.count { rules.attemptsOn(it).isEmpty() }
+    private fun SimulatedCluster.emptyMachines(): Int = workers.keys.count { rules.attemptsOn(it).isEmpty() }
 
-    /** Empty machines in each of the next seconds. */
-    private fun SimulatedCluster.emptyEachSecond(): List<Int> =
+    /** The number of empty machines after each of the next 30 seconds. */
+    private fun SimulatedCluster.emptyMachinesEachSecond(): List<Int> =
         List(30) {
             run(now + SECOND)
-            empty()
+            emptyMachines()
         }
 
-    /** A full fleet whose many jobs of one task all end at about [JOBS_END_S], with large jobs waiting for their room. */
-    private fun fullFleet(
+    /**
+     * A fleet that is full of jobs of one task, which all end at about [JOBS_END_S], while large jobs are waiting for that
+     * capacity.
+     */
+    private fun clusterWithFullFleet(
         seed: Long,
         writesPerSecond: Double = 12.0,
     ): SimulatedCluster {
@@ -48,42 +51,43 @@
     }
 
     /**
-     * `Changes.inTurn`: what had become of ended or lost tasks once took every write, so that a fleet fell empty beside
-     * thousands of waiting tasks. Without turns this sum is 1.7 times as large.
+     * Guards `WriteArbiter`. Without it, the outcomes of completed and lost tasks took every write, and a fleet became empty
+     * while thousands of tasks were waiting. The sum of empty machine-seconds was then 1.7 times as large.
      */
     @Test
-    fun `machines do not stay empty beside waiting tasks while many ends of jobs are written`() {
-        val empty =
+    fun `machines do not stay empty while tasks wait and the outcomes of many jobs are written`() {
+        val emptySeconds =
             (81L..84L).map { seed ->
-                val cluster = fullFleet(seed)
+                val cluster = clusterWithFullFleet(seed)
                 cluster.run(JOBS_END_S.toLong() * SECOND)
-                assertEquals(0, cluster.empty(), "the fleet is full")
-                val emptyEachSecond = cluster.emptyEachSecond()
-                assertTrue(emptyEachSecond.max() > MACHINES / 4, "jobs end faster than others can be placed: $emptyEachSecond")
+                assertEquals(0, cluster.emptyMachines(), "empty machines in a fleet that should be full")
+                val emptyCounts = cluster.emptyMachinesEachSecond()
+                assertTrue(emptyCounts.max() > MACHINES / 4, "jobs do not end faster than others are placed: $emptyCounts")
                 cluster.assertRulesHeld()
-                emptyEachSecond.sum()
+                emptyCounts.sum()
             }
-        assertTrue(empty.sum() < MACHINES * 11 / 2 * empty.size, "$empty seconds of empty machines")
+        assertTrue(emptySeconds.sum() < MACHINES * 11 / 2 * emptySeconds.size, "$emptySeconds empty machine-seconds")
     }
 
     /**
-     * `StateLink.transactionsOpen`: each transaction without an answer once kept one of four places for two seconds, so that
-     * writes which the limit allowed were not sent. Counted until they are given up, this sum is over three times as large.
+     * Guards `TransactionDispatcher.inFlightCount`. Transactions whose answers are lost used to count as in flight until they
+     * timed out after two seconds. Each took one of four places, and writes within the limit were not sent. The sum of empty
+     * machine-seconds was then more than three times as large.
      */
     @Test
-    fun `transactions whose answers are lost hold up no others`() {
-        val empty =
+    fun `transactions whose answers are lost do not delay others`() {
+        val emptySeconds =
             (83L..84L).sumOf { seed ->
-                val cluster = fullFleet(seed, writesPerSecond = 60.0)
+                val cluster = clusterWithFullFleet(seed, writesPerSecond = 60.0)
                 cluster.run(JOBS_END_S.toLong() * SECOND)
-                assertEquals(0, cluster.empty(), "the fleet is full")
+                assertEquals(0, cluster.emptyMachines(), "empty machines in a fleet that should be full")
                 cluster.stateStoreFaults.lost = 450
-                val emptyEachSecond = cluster.emptyEachSecond()
-                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "some were carried out late")
+                val emptyCounts = cluster.emptyMachinesEachSecond()
+                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "no transaction was carried out late")
                 cluster.assertRulesHeld()
-                emptyEachSecond.sum()
+                emptyCounts.sum()
             }
-        assertTrue(empty < MACHINES * 8, "$empty seconds of empty machines")
+        assertTrue(emptySeconds < MACHINES * 8, "$emptySeconds empty machine-seconds")
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/simulation/CancellationBoundTest.kt
+++ b/src/test/kotlin/mintpick/simulation/CancellationBoundTest.kt
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.TestFactory
 
 /**
- * The state service refuses the leading controller alone, another one confirms cancellations, and then the state service
- * is out for everybody, longer than `cancel_s`, while workers keep reporting to the old leader. Whatever message is lost
- * meanwhile, the tasks of those jobs are gone within `cancel_s` of the confirmation.
+ * The state store refuses only the leader, and another controller confirms cancellations. Then the state store is down for all
+ * controllers for longer than `cancel_s`, while agents keep sending heartbeats to the old leader. Whichever messages are lost
+ * in the meantime, the tasks of the cancelled jobs must have stopped within `cancel_s` of the confirmation.
  */
 class CancellationBoundTest {
     private class Scenario(
@@ -33,7 +33,7 @@
         val others: List<SimulatedCluster.Node> = cluster.nodes - leader
         val confirmed = HashSet<String>()
 
-        /** Asks [node] once; what it answers goes to the rules. */
+        /** Sends [node] one request to cancel job [id] and passes a successful answer to the rule checker. */
         fun cancel(
             id: String,
             node: SimulatedCluster.Node,
@@ -54,13 +54,13 @@
     private fun service(n: Int): JobSpec = SampleJobs.service(n, spread = true)
 
     /**
-     * Brings the scenario about: the leader is refused from 60 s on, all jobs but the first two are cancelled through the
-     * others, and the state service is out from 62 s on for [outage]. [meanwhile] adds a further fault.
+     * Runs the scenario: the state store refuses the leader from 60 s on, all jobs but the first two are cancelled through the
+     * other controllers, and the state store is down from 62 s on for [outageUs]. [injectFault] adds another fault.
      */
-    private fun play(
+    private fun runScenario(
         seed: Long,
-        outage: Micros = 55 * SECOND,
-        meanwhile: Scenario.() -> Unit,
+        outageUs: Micros = 55 * SECOND,
+        injectFault: Scenario.() -> Unit,
     ): Scenario {
         val cluster = SimulatedCluster(seed, FaultRates()) { SampleJobs.settings(it) }
         (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
@@ -68,15 +68,15 @@
         val scenario = Scenario(cluster)
         scenario.leader.cutFromState = true
         (3..JOBS).forEach { n ->
-            val at = SECOND + n * 40 * MILLI
-            cluster.after(at) { scenario.cancel("req-%06d".format(n), scenario.others[n % scenario.others.size]) }
+            val delayUs = SECOND + n * 40 * MILLI
+            cluster.after(delayUs) { scenario.cancel("req-%06d".format(n), scenario.others[n % scenario.others.size]) }
         }
         cluster.after(2 * SECOND) { cluster.state.out = true }
-        cluster.after(2 * SECOND + outage) { cluster.state.out = false }
+        cluster.after(2 * SECOND + outageUs) { cluster.state.out = false }
         cluster.after(14 * SECOND) { scenario.leader.cutFromState = false }
-        scenario.meanwhile()
-        cluster.run(62 * SECOND + outage + 20 * SECOND)
-        assertTrue(scenario.confirmed.size > 2, "confirmed before the outage: ${scenario.confirmed}")
+        scenario.injectFault()
+        cluster.run(62 * SECOND + outageUs + 20 * SECOND)
+        assertTrue(scenario.confirmed.size > 2, "jobs with a confirmed cancellation: ${scenario.confirmed}")
         cluster.assertRulesHeld()
         return scenario
     }
@@ -118,14 +118,14 @@
         )
 
     @TestFactory
-    fun `cancelled tasks are gone in time though the old leader can not hear of it`() =
+    fun `cancelled tasks stop within the bound although the old leader cannot learn of the cancellation`() =
         faults.flatMap { (name, fault) ->
-            (1L..3L).map { seed -> DynamicTest.dynamicTest("$name, seed $seed") { play(seed, meanwhile = fault) } }
+            (1L..3L).map { seed -> DynamicTest.dynamicTest("$name, seed $seed") { runScenario(seed, injectFault = fault) } }
         }
 
-    /** Scenario 11: there is no outage, so the old leader's part passes on while it still answers its workers. */
+    /** Without an outage, the old leader's shards move to other controllers while it still answers its agents. */
     @TestFactory
-    fun `jobs are cancelled through the new leader while the old one has its workers alone`() =
+    fun `jobs are cancelled through the new leader while the old one reaches only its agents`() =
         (11L..14L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = SimulatedCluster(seed, FaultRates()) { SampleJobs.settings(it) }
@@ -138,7 +138,7 @@
                     cluster.after(n * 2 * SECOND) { scenario.cancel("req-%06d".format(n), scenario.others[n % 2]) }
                 }
                 cluster.run(130 * SECOND)
-                assertTrue(cluster.leader() !== scenario.leader, "another one leads")
+                assertTrue(cluster.leader() !== scenario.leader, "the isolated controller is still the leader")
                 scenario.leader.cutFromState = false
                 scenario.leader.cutFromPeers = false
                 cluster.run(160 * SECOND)
@@ -147,23 +147,26 @@
             }
         }
 
-    /** Scenario 25: answers take up to three seconds while users cancel, and then nobody is served. */
+    /** Answers of the state store take up to three seconds while users cancel. Then the state store is down. */
     @TestFactory
-    fun `jobs are cancelled while the state service is slow and then out`() =
+    fun `cancelled tasks stop within the bound when the state store is slow and then down`() =
         (21L..24L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val scenario =
-                    play(seed) {
+                    runScenario(seed) {
                         cluster.stateStoreFaults.slow = 300
                         cluster.after(20 * SECOND) { cluster.stateStoreFaults.slow = 0 }
                     }
-                assertTrue(scenario.cluster.stateStoreFaults.slowAnswers > 0, "answers were slow")
+                assertTrue(scenario.cluster.stateStoreFaults.slowAnswers > 0, "no answer was slow")
             }
         }
 
-    /** The bound costs nothing where all controllers are heard: what they answer accounts for all cancellations. */
+    /**
+     * While all controllers answer hints, the bound on renewals of leases stops no task: their answers show that no cancellation
+     * is unknown.
+     */
     @Test
-    fun `services go on through an outage that all controllers share`() {
+    fun `services keep running through an outage of the state store that affects all controllers`() {
         val cluster = SimulatedCluster(7, FaultRates()) { SampleJobs.settings(it) }
         (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
         cluster.run(60 * SECOND)
@@ -173,7 +176,7 @@
         cluster.state.out = false
         cluster.run(150 * SECOND)
         assertEquals(JOBS * 2, starts)
-        assertEquals(starts, cluster.rules.starts, "no replica lost its lease")
+        assertEquals(starts, cluster.rules.starts, "starts before and after the outage")
         cluster.assertRulesHeld()
     }
 
--- a/src/test/kotlin/mintpick/simulation/DependentJobsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/DependentJobsTest.kt
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Pipelines in the model, under limits of the state service that hold little. */
+/** Jobs with predecessors in a simulated cluster, with low limits on values, transactions and writes of the state store. */
 class DependentJobsTest {
     private fun settings(index: Int) =
         Settings.parse(
@@ -49,16 +49,16 @@
 
     private fun spec(
         n: Int,
-        vararg needs: Int,
+        vararg predecessorNumbers: Int,
         tasks: Int = 1,
         estimateS: Double = 3.0,
     ): JobSpec =
         SampleJobs
             .spec("req-%06d".format(n), "blue", tasks, cpus = 1.0, estimateS = estimateS)
-            .copy(predecessors = needs.map { "req-%06d".format(it) }.ifEmpty { null })
+            .copy(predecessors = predecessorNumbers.map { "req-%06d".format(it) }.ifEmpty { null })
 
     @TestFactory
-    fun `pipelines of all shapes run in order through drawn faults`() =
+    fun `chains and diamonds of dependent jobs run in order through random faults`() =
         (401L..408L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 20))
@@ -66,8 +66,8 @@
                 cluster.after(8 * SECOND) {
                     pipelines.submit(pipelines.chain(12))
                     pipelines.submit(pipelines.diamond(6))
-                    val late = pipelines.diamond(3)
-                    pipelines.submit(late, cancelled = late[(seed % 5).toInt()], cancelAfterS = seed % 12)
+                    val cancelledDiamond = pipelines.diamond(3)
+                    pipelines.submit(cancelledDiamond, cancelled = cancelledDiamond[(seed % 5).toInt()], cancelAfterS = seed % 12)
                 }
                 repeat(4) {
                     cluster.after((10L + cluster.random.nextLong(60)) * SECOND) {
@@ -83,43 +83,43 @@
                 cluster.rules.checkServed(cluster.now)
                 cluster.assertRulesHeld()
                 cluster.assertWithinLimits()
-                val open = pipelines.jobs.map { it.id }.filterNot(cluster.rules::isFinal)
-                assertEquals(emptyList<String>(), open, "neither done nor withdrawn")
+                val unfinished = pipelines.jobs.map { it.id }.filterNot(cluster.rules::isFinal)
+                assertEquals(emptyList<String>(), unfinished, "jobs neither done nor cancelled")
             }
         }
 
-    /** Of the most jobs that may be named, and of the most that may wait for one; both are larger than a record. */
+    /** Covers a job with the maximum number of predecessors and one with the maximum number of successors. Both exceed one record. */
     @Test
-    fun `hundreds of jobs wait for one, and one job waits for hundreds`() {
+    fun `hundreds of jobs wait for one predecessor, and one job waits for hundreds of predecessors`() {
         val cluster = cluster(411)
         cluster.user(spec(1, estimateS = 40.0), null)
         (2..301).forEach { n -> cluster.after(n * SECOND / 12) { cluster.user(spec(n, 1, estimateS = 1.0), null) } }
         val last = spec(400, *(1..301).toList().toIntArray())
         cluster.user(last, null)
-        val all = (1..301).map { "req-%06d".format(it) } + last.id
+        val allIds = (1..301).map { "req-%06d".format(it) } + last.id
         cluster.run(60 * SECOND)
-        assertEquals(emptyList<String>(), all.filterNot(cluster.rules::isAccepted), "not accepted")
+        assertEquals(emptyList<String>(), allIds.filterNot(cluster.rules::isAccepted), "jobs not accepted")
         cluster.nodes.forEach { it.crash(SECOND) }
         cluster.run(240 * SECOND)
         cluster.assertRulesHeld()
         cluster.assertWithinLimits()
-        assertEquals(emptyList<String>(), all.filterNot(cluster.rules::isComplete), "not run")
-        assertTrue(cluster.state.keys().none { Keys.parse(it.first) is Keys.Subject.Spec }, "what nobody needs is removed")
+        assertEquals(emptyList<String>(), allIds.filterNot(cluster.rules::isComplete), "jobs not completed")
+        assertTrue(cluster.state.keys().none { Keys.parse(it.first) is Keys.Subject.Spec }, "specs that no job needs are still stored")
     }
 
-    private fun SimulatedCluster.ask(
+    private fun SimulatedCluster.request(
         node: Int,
         event: (ReplyTo) -> Event,
     ): Pair<Int, JobStage?> {
         var answer: Pair<Int, JobStage?> = 0 to null
         nodes[node].deliver(
             event(
-                ReplyTo { given ->
-                    val text = given.body.decodeToString()
+                ReplyTo { response ->
+                    val text = response.body.decodeToString()
                     val stage =
                         runCatching { WireJson.decodeFromString(JobStatus.serializer(), text).stage }
                             .recoverCatching { WireJson.decodeFromString(JobAnswer.serializer(), text).stage }
-                    answer = given.status to stage.getOrNull()
+                    answer = response.status to stage.getOrNull()
                 },
             ),
         )
@@ -132,25 +132,25 @@
         spec: JobSpec,
     ): Pair<Int, JobStage?> {
         if (rules.spec(spec.id) == null) rules.submitted(spec, now)
-        return ask(node) { Event.Submit(spec, it) }
+        return request(node) { Event.Submit(spec, it) }
     }
 
     private fun SimulatedCluster.poll(
         node: Int,
         n: Int,
-    ) = ask(node) { Event.Poll(JobId("req-%06d".format(n)), it) }
+    ) = request(node) { Event.Poll(JobId("req-%06d".format(n)), it) }
 
     private fun SimulatedCluster.cancel(
         node: Int,
         n: Int,
-    ) = ask(node) { Event.Cancel(JobId("req-%06d".format(n)), it) }
+    ) = request(node) { Event.Cancel(JobId("req-%06d".format(n)), it) }
 
     @Test
-    fun `what a submission names is looked up, and what follows is told alike by every controller`() {
+    fun `unknown predecessors are rejected, and all controllers answer alike about successors of a cancelled job`() {
         val cluster = cluster(412)
         cluster.run(8 * SECOND)
         assertEquals(201 to JobStage.QUEUED, cluster.submit(0, spec(1, estimateS = 500.0)))
-        assertEquals(422 to null, cluster.submit(1, spec(9, 1, 8)), "8 was never accepted")
+        assertEquals(422 to null, cluster.submit(1, spec(9, 1, 8)), "predecessor 8 was never accepted")
         assertEquals(201 to JobStage.QUEUED, cluster.submit(1, spec(2, 1)))
         assertEquals(201 to JobStage.QUEUED, cluster.submit(2, spec(3, 2)))
         assertEquals(201 to JobStage.QUEUED, cluster.submit(0, spec(4, 3, 1)))
@@ -159,17 +159,17 @@
         assertEquals(200 to JobStage.CANCELLED, cluster.cancel(1, 2))
         (0..2).forEach { node -> (3..4).forEach { assertEquals(200 to JobStage.CANCELLED, cluster.poll(node, it), "$it at $node") } }
         assertEquals(200 to JobStage.RUNNING, cluster.poll(2, 1))
-        // Accepted all the same, and over.
+        // Accepted although the predecessor is cancelled, and therefore cancelled at once.
         assertEquals(201 to JobStage.CANCELLED, cluster.submit(2, spec(5, 4)))
-        assertEquals(200 to JobStage.CANCELLED, cluster.submit(0, spec(4, 3, 1)), "a repeat")
+        assertEquals(200 to JobStage.CANCELLED, cluster.submit(0, spec(4, 3, 1)), "repeated submission")
         cluster.nodes.forEach { it.crash(SECOND) }
         cluster.run(cluster.now + 20 * SECOND)
         (0..2).forEach { node -> (2..5).forEach { assertEquals(200 to JobStage.CANCELLED, cluster.poll(node, it), "$it at $node") } }
-        assertTrue(cluster.rules.starts == 1, "${cluster.rules.starts} starts")
+        assertTrue(cluster.rules.starts == 1, "${cluster.rules.starts} starts, expected only that of job 1")
     }
 
     @Test
-    fun `a cancellation that comes too late withdraws nothing`() {
+    fun `cancelling a job that is already done cancels none of its successors`() {
         val cluster = cluster(413)
         cluster.run(8 * SECOND)
         cluster.submit(0, spec(1, estimateS = 1.0))
@@ -177,14 +177,17 @@
         cluster.run(40 * SECOND)
         assertEquals(200 to JobStage.DONE, cluster.cancel(2, 1))
         (0..2).forEach { assertEquals(200 to JobStage.RUNNING, cluster.poll(it, 2)) }
-        assertEquals(201 to JobStage.QUEUED, cluster.submit(0, spec(3, 1)), "on one that has been over for long")
+        assertEquals(201 to JobStage.QUEUED, cluster.submit(0, spec(3, 1)), "submission with a predecessor that has long been done")
         cluster.run(60 * SECOND)
         assertEquals(200 to JobStage.DONE, cluster.poll(1, 3))
     }
 
-    /** The worst scenario known: confirmed, then an outage longer than a cancellation has, in which controllers start anew. */
+    /**
+     * The worst known scenario: the cancellation of a predecessor is confirmed, and then the state store is down for longer than
+     * `cancel_s`, while a controller restarts.
+     */
     @Test
-    fun `jobs behind a cancelled one are never called open again, through an outage and restarts`() {
+    fun `successors of a cancelled job are never reported as open again after an outage and a restart`() {
         val cluster = cluster(414)
         val chain = Pipelines(cluster, 1).chain(6)
         cluster.after(8 * SECOND) {
@@ -212,6 +215,6 @@
         cluster.assertRulesHeld()
         assertTrue(chain.drop(1).all { cluster.rules.isFinal(it.id) })
         val records = cluster.state.keys().toMap()
-        assertTrue(chain.drop(1).none { "spec" in records.getValue(Keys.job(it.id)) }, "each has its final record in the end")
+        assertTrue(chain.drop(1).none { "spec" in records.getValue(Keys.job(it.id)) }, "a successor has no final record")
     }
 }
--- a/src/test/kotlin/mintpick/simulation/FaultyJobsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/FaultyJobsTest.kt
@@ -14,23 +14,26 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Jobs that fail wherever they run, machines on which everything fails, and how they are told apart. */
+/** Distinguishes jobs that fail on every machine from machines on which every job fails. */
 class FaultyJobsTest {
-    private val broken = (1..4).map { n -> SampleJobs.spec("req-%06d".format(900 + n), team = "blue", tasks = 40, estimateS = 15.0) }
-    private val brokenIds = broken.mapTo(HashSet()) { it.id }
+    private val faultyJobs = (1..4).map { n -> SampleJobs.spec("req-%06d".format(900 + n), team = "blue", tasks = 40, estimateS = 15.0) }
+    private val faultyIds = faultyJobs.mapTo(HashSet()) { it.id }
 
-    private fun sound(n: Int): JobSpec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 6, estimateS = 6.0)
+    private fun healthyJob(n: Int): JobSpec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 6, estimateS = 6.0)
 
-    /** Thirty sound jobs, and from [brokenFromUs] on four that fail everywhere until [cancelAfterUs] after that. */
+    /**
+     * A cluster with thirty healthy jobs. Four faulty jobs, which fail on every machine, are submitted at [faultyFromUs] and
+     * cancelled [cancelAfterUs] later, if that is given.
+     */
     private fun cluster(
         seed: Long,
-        brokenFromUs: Micros,
+        faultyFromUs: Micros,
         cancelAfterUs: Micros?,
     ): SimulatedCluster {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 16)) { SampleJobs.settings(it) }
-        cluster.failing = { _, task -> task.substringBeforeLast('/') in brokenIds }
-        (1..30).forEach { n -> cluster.after(n * 3 * SECOND) { cluster.user(sound(n), null) } }
-        broken.forEach { spec -> cluster.after(brokenFromUs) { cluster.user(spec, cancelAfterUs) } }
+        cluster.failing = { _, task -> task.substringBeforeLast('/') in faultyIds }
+        (1..30).forEach { n -> cluster.after(n * 3 * SECOND) { cluster.user(healthyJob(n), null) } }
+        faultyJobs.forEach { spec -> cluster.after(faultyFromUs) { cluster.user(spec, cancelAfterUs) } }
         return cluster
     }
 
@@ -40,58 +43,66 @@
             .values
             .sum()
 
-    /** Once every machine on which three jobs had failed was emptied and returned, whoever's mistake it was. */
+    /** Guards against releasing every machine on which three jobs have failed, even if the jobs are faulty rather than the machine. */
     @Test
-    fun `jobs with a mistake cost no machines and hold up nobody`() {
-        val without = cluster(seed = 71, brokenFromUs = 1000 * SECOND, cancelAfterUs = null)
-        val cluster = cluster(seed = 71, brokenFromUs = 30 * SECOND, cancelAfterUs = null)
-        listOf(without, cluster).forEach { it.run(140 * SECOND) }
+    fun `faulty jobs cause no machine to be replaced and delay no other job`() {
+        val withoutFaultyJobs = cluster(seed = 71, faultyFromUs = 1000 * SECOND, cancelAfterUs = null)
+        val cluster = cluster(seed = 71, faultyFromUs = 30 * SECOND, cancelAfterUs = null)
+        listOf(withoutFaultyJobs, cluster).forEach { it.run(140 * SECOND) }
         assertTrue(
-            cluster.cloud.rented <= without.cloud.rented + 6,
-            "${cluster.cloud.rented} machines rented instead of ${without.cloud.rented}",
+            cluster.cloud.rented <= withoutFaultyJobs.cloud.rented + 6,
+            "${cluster.cloud.rented} machines rented instead of ${withoutFaultyJobs.cloud.rented}",
         )
-        assertEquals(emptyList<String>(), (1..30).map { sound(it).id }.filter { !cluster.rules.isComplete(it) }, "sound jobs are done")
-        assertTrue(brokenIds.all { cluster.rules.isAccepted(it) && !cluster.rules.isFinal(it) }, "the others stay known")
+        assertEquals(
+            emptyList<String>(),
+            (1..30).map { healthyJob(it).id }.filter { !cluster.rules.isComplete(it) },
+            "healthy jobs not completed",
+        )
+        assertTrue(faultyIds.all { cluster.rules.isAccepted(it) && !cluster.rules.isFinal(it) }, "faulty jobs not accepted or final")
         cluster.assertRulesHeld()
     }
 
-    /** Without the backoff and the bound on its tasks an array of forty starts a few hundred times a minute. */
+    /** Without the backoff and the limit of one task at a time, an array of forty tasks starts a few hundred times a minute. */
     @Test
-    fun `a job with a mistake is retried less and less, a task at a time, and ends when cancelled`() {
-        val cluster = cluster(seed = 72, brokenFromUs = 30 * SECOND, cancelAfterUs = 100 * SECOND)
+    fun `a faulty job is retried with backoff, one task at a time, and ends when cancelled`() {
+        val cluster = cluster(seed = 72, faultyFromUs = 30 * SECOND, cancelAfterUs = 100 * SECOND)
         cluster.run(60 * SECOND)
-        val early = cluster.startsOf(brokenIds)
+        val startsBefore = cluster.startsOf(faultyIds)
         cluster.run(120 * SECOND)
-        val late = cluster.startsOf(brokenIds) - early
-        assertTrue(late in 1..broken.size * 8, "$late retries in a minute")
+        val retries = cluster.startsOf(faultyIds) - startsBefore
+        assertTrue(retries in 1..faultyJobs.size * 8, "$retries retries of faulty jobs in a minute")
         cluster.run(160 * SECOND)
-        assertTrue(brokenIds.all { cluster.rules.stageOf(it) == JobStage.CANCELLED }, "cancelled")
+        assertTrue(faultyIds.all { cluster.rules.stageOf(it) == JobStage.CANCELLED }, "faulty jobs not cancelled")
         cluster.assertRulesHeld()
     }
 
     @Test
-    fun `a faulty machine is emptied although faulty jobs fail elsewhere, and no other is`() {
-        val cluster = cluster(seed = 73, brokenFromUs = 30 * SECOND, cancelAfterUs = null)
+    fun `only the faulty machine is released while faulty jobs fail on other machines too`() {
+        val cluster = cluster(seed = 73, faultyFromUs = 30 * SECOND, cancelAfterUs = null)
         cluster.run(35 * SECOND)
-        val faulty = cluster.workers.values.maxBy { cluster.rules.attemptsOn(it.id).size }
-        val before = cluster.cloud.rented
-        val jobs = cluster.failing
-        cluster.failing = { machine, task -> machine === faulty || jobs(machine, task) }
+        val faultyMachine = cluster.workers.values.maxBy { cluster.rules.attemptsOn(it.id).size }
+        val rentedBefore = cluster.cloud.rented
+        val jobFails = cluster.failing
+        cluster.failing = { machine, task -> machine === faultyMachine || jobFails(machine, task) }
         (201..230).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(n), "blue", 1, cpus = 1.0, estimateS = 60.0), null) }
         cluster.run(80 * SECOND)
-        assertFalse(faulty.id in cluster.workers, "the faulty machine is returned")
-        assertTrue(cluster.cloud.rented - before < 6, "${cluster.cloud.rented - before} machines rented anew")
+        assertFalse(faultyMachine.id in cluster.workers, "the faulty machine is not released")
+        assertTrue(cluster.cloud.rented - rentedBefore < 6, "${cluster.cloud.rented - rentedBefore} more machines rented")
         cluster.run(200 * SECOND)
-        assertEquals(emptyList<String>(), (1..30).map { sound(it).id }.filter { !cluster.rules.isComplete(it) }, "sound jobs are done")
+        assertEquals(
+            emptyList<String>(),
+            (1..30).map { healthyJob(it).id }.filter { !cluster.rules.isComplete(it) },
+            "healthy jobs not completed",
+        )
         cluster.assertRulesHeld()
     }
 
     /**
-     * A job that was taken for faulty goes on once it no longer fails, whichever controller had found it faulty: those that
-     * are not its home leave it to its home, which goes on trying.
+     * A job that was found faulty runs again as soon as it no longer fails, whichever controller found it faulty. Only its
+     * preferred controller keeps probing it.
      */
     @Test
-    fun `what has failed everywhere for a while runs once it no longer fails`() {
+    fun `a job that has failed on every machine runs as soon as it no longer fails`() {
         val cluster = SimulatedCluster(76, FaultRates(), ClusterSize(machines = 30)) { SampleJobs.settings(it) }
         cluster.failing = { _, task -> task < "req-000100" && cluster.now < 80 * SECOND }
         (1..8).forEach { n ->
@@ -102,36 +113,36 @@
             cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.spec("req-%06d".format(200 + n), "blue", 20, estimateS = 8.0), null) }
         }
         cluster.run(240 * SECOND)
-        assertEquals(emptyList<Int>(), (1..8).filter { !cluster.rules.isComplete("req-%06d".format(it)) }, "not done")
-        val replicas =
+        assertEquals(emptyList<Int>(), (1..8).filter { !cluster.rules.isComplete("req-%06d".format(it)) }, "jobs not completed")
+        val runningReplicas =
             cluster.rules.running.keys
                 .count { it in "req-000021".."req-000029" }
-        assertEquals(16, replicas, "replicas that run")
+        assertEquals(16, runningReplicas, "running replicas")
         cluster.assertRulesHeld()
     }
 
-    /** What fails everywhere keeps no machines: others would be idle, too, until its users cancel it. */
+    /** Guards against keeping machines for tasks of faulty jobs: they would be idle until users cancel the jobs. */
     @Test
-    fun `no machines are kept for jobs with a mistake, whichever controller knows of it`() {
+    fun `no machines are kept for faulty jobs, whichever controller has found them faulty`() {
         val cluster = SimulatedCluster(74, FaultRates(), ClusterSize(machines = 200)) { SampleJobs.settings(it) }
-        cluster.failing = { _, task -> task.substringBeforeLast('/') in brokenIds }
-        cluster.user(sound(1), null)
+        cluster.failing = { _, task -> task.substringBeforeLast('/') in faultyIds }
+        cluster.user(healthyJob(1), null)
         cluster.run(30 * SECOND)
-        broken.forEach { cluster.user(it.copy(tasks = 400), null) }
+        faultyJobs.forEach { cluster.user(it.copy(tasks = 400), null) }
         cluster.run(50 * SECOND)
-        assertTrue(cluster.workers.size > 50, "${cluster.workers.size} machines before it is known")
+        assertTrue(cluster.workers.size > 50, "${cluster.workers.size} machines before the jobs are found faulty")
         cluster.run(150 * SECOND)
-        assertTrue(cluster.workers.size < 12, "${cluster.workers.size} machines are kept for what fails everywhere")
+        assertTrue(cluster.workers.size < 12, "${cluster.workers.size} machines are kept for faulty jobs")
         cluster.assertRulesHeld()
     }
 
-    /** A team at its limit gets no more, however many machines there are. */
+    /** A team at its limit can't use more machines, so renting them would be useless. */
     @Test
-    fun `no machines are rented for what a team's limit holds back`() {
+    fun `no machines are rented for tasks that their team's limit delays`() {
         val cluster = SimulatedCluster(75, FaultRates(), ClusterSize(machines = 200)) { SampleJobs.settings(it) }
         (1..10).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(n), "red", tasks = 60, estimateS = 30.0), null) }
         cluster.run(60 * SECOND)
-        assertTrue(cluster.cloud.rented < 12, "${cluster.cloud.rented} machines rented for 24 processors")
+        assertTrue(cluster.cloud.rented < 12, "${cluster.cloud.rented} machines rented for 24 CPUs")
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/GrowthTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GrowthTest.kt
@@ -12,51 +12,51 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** What grows with the fleet and what must not, in counts: one state service's limits serve however many machines. */
+/** Writes, calls and bytes must not grow faster than the work, because the limits of the state store do not grow with the fleet. */
 class GrowthTest {
     /**
-     * Machines that were marked to be returned, with their marks still to be written, were picked again in each round:
-     * of four hundred idle ones the last were kept, and paid for, long after the first.
+     * Guards the check of `IdleMachineDrainer` for unwritten scale-in marks. Without it, machines with such a mark were selected
+     * again each time. Of four hundred idle machines, the last were kept and paid for long after the first were released.
      */
     @TestFactory
-    fun `the machines of a backlog go soon after it`() =
-        (52L..54L).map { seed -> DynamicTest.dynamicTest("seed $seed") { machinesGoAfterBacklog(seed) } }
+    fun `on-demand machines are released soon after a backlog ends`() =
+        (52L..54L).map { seed -> DynamicTest.dynamicTest("seed $seed") { checkScaleInAfterBacklog(seed) } }
 
-    private fun machinesGoAfterBacklog(seed: Long) {
+    private fun checkScaleInAfterBacklog(seed: Long) {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 400, spot = 40)) { SampleJobs.settings(it) }
         (1..40).forEach { n ->
             cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 40, cpus = 2.0, estimateS = 20.0), null)
         }
-        var most = 0
+        var maxOnDemand = 0
         for (second in 10..60) {
             cluster.run(second * SECOND)
-            most = maxOf(most, cluster.workers.values.count { !it.spot })
+            maxOnDemand = maxOf(maxOnDemand, cluster.workers.values.count { !it.spot })
         }
-        assertTrue(most > 250, "$most ordinary machines for the backlog")
-        // One or two that booted last may still be under way.
-        assertTrue(cluster.workers.values.count { !it.spot } < 4, "ordinary machines left")
+        assertTrue(maxOnDemand > 250, "$maxOnDemand on-demand machines for the backlog")
+        // The last one or two to boot may not be released yet.
+        assertTrue(cluster.workers.values.count { !it.spot } < 4, "on-demand machines left")
         cluster.run(64 * SECOND)
-        assertEquals(0, cluster.workers.values.count { !it.spot }, "ordinary machines left")
+        assertEquals(0, cluster.workers.values.count { !it.spot }, "on-demand machines left")
         cluster.assertRulesHeld()
     }
 
     @Test
-    fun `a thousand machines and hundreds of jobs stay within the state service's limits`() {
+    fun `a thousand machines and hundreds of jobs stay within the limits of the state store`() {
         val cluster = SimulatedCluster(51, FaultRates(), ClusterSize(machines = 1000)) { SampleJobs.settings(it) }
         val services = 120
         val arrays = 240
         var tasks = 0
         (1..services).forEach { n ->
-            val size = 4 + n % 6
-            tasks += size
+            val taskCount = 4 + n % 6
+            tasks += taskCount
             val spec =
-                SampleJobs.service(n, team = "blue", tasks = size, spread = true)
+                SampleJobs.service(n, team = "blue", tasks = taskCount, spread = true)
             cluster.after(n * SECOND / 8) { cluster.user(spec, null) }
         }
         (1..arrays).forEach { n ->
-            val size = 20 + n * 7 % 90
-            tasks += size
-            val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", tasks = size, cpus = 4.0, estimateS = 10.0)
+            val taskCount = 20 + n * 7 % 90
+            tasks += taskCount
+            val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", tasks = taskCount, cpus = 4.0, estimateS = 10.0)
             cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
         }
         cluster.run(110 * SECOND)
@@ -64,22 +64,22 @@
         cluster.assertRulesHeld()
         assertTrue(cluster.workers.size > 500, "${cluster.workers.size} machines")
         assertTrue(cluster.rules.starts >= tasks * 9 / 10, "${cluster.rules.starts} of $tasks tasks started")
-        // Stored, placed and finished, with some parts while writes abound: a handful for each job, whatever its tasks
-        // (there are over forty on average).
+        // A job is stored, placed and finished, and placed partially while writes are plentiful. That takes a few writes per
+        // job, regardless of its number of tasks, which is over forty on average.
         val writes = cluster.state.writes
         val byKind = cluster.state.writesByKind
         assertTrue((byKind["j"] ?: 0) + (byKind["k"] ?: 0) < jobs * 8, "$byKind")
-        // One record for each part, not for each machine.
+        // One record per shard, not per machine.
         assertTrue((byKind["f"] ?: 0) < cluster.workers.size / 4, "$byKind for ${cluster.workers.size} machines")
         assertTrue(writes < 110 * 40, "$writes writes in 110 s")
         assertTrue(cluster.state.requests < 110 * 100, "${cluster.state.requests} requests in 110 s")
         assertTrue(cluster.state.bytesWritten < 25_000L * jobs, "${cluster.state.bytesWritten} bytes")
-        // Starts go out together with others for the same machine, and what is only to be forgotten waits for a report.
+        // Starts on the same machine are sent in one call, and commands to forget tasks wait for a heartbeat.
         val calls = cluster.nodes.sumOf { it.calls }
         assertTrue(calls < 3L * cluster.rules.starts, "$calls calls for ${cluster.rules.starts} starts")
     }
 
-    private class Counts(
+    private class CostsPerStart(
         val machines: Int,
         val writes: Double,
         val calls: Double,
@@ -87,10 +87,10 @@
     )
 
     /**
-     * A fleet through its worst two minutes: an eighth of it dead at once and again, a zone cut off for longer than a lease,
-     * all controllers back within a moment. What that costs for each start must not grow with the fleet.
+     * Runs a fleet through severe faults within two minutes and returns the costs per task start, which must not grow with the
+     * fleet. An eighth of the machines fail at once, twice. A zone is isolated for longer than a lease. All controllers restart.
      */
-    private fun worst(machines: Int): Counts {
+    private fun measureCostsUnderFaults(machines: Int): CostsPerStart {
         val cluster = SimulatedCluster(53, FaultRates(), ClusterSize(machines = machines)) { SampleJobs.settings(it) }
         val services = machines / 20
         (1..services).forEach { n ->
@@ -104,10 +104,10 @@
                 cluster.after((round * 20L - 15) * SECOND + n * SECOND / 5) { cluster.user(spec, null) }
             }
         }
-        val most = ArrayList<Int>()
+        val machineCounts = ArrayList<Int>()
         listOf(45L, 60L).forEach { at ->
             cluster.after(at * SECOND) {
-                most += cluster.workers.size
+                machineCounts += cluster.workers.size
                 cluster.workers.keys
                     .filterIndexed { i, _ -> i % 8 == 0 }
                     .forEach(cluster::remove)
@@ -118,14 +118,14 @@
         cluster.after(115 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } }
         cluster.run(140 * SECOND)
         cluster.assertRulesHeld()
-        val running =
+        val runningReplicas =
             (1..services).sumOf { n ->
                 cluster.workers.values.sumOf { w -> cluster.rules.attemptsOn(w.id).count { it.startsWith("req-%06d/".format(n)) } }
             }
-        assertTrue(running >= services * 4 * 99 / 100, "$running of ${services * 4} replicas run")
+        assertTrue(runningReplicas >= services * 4 * 99 / 100, "$runningReplicas of ${services * 4} replicas are running")
         val starts = cluster.rules.starts.toDouble()
-        return Counts(
-            most.max(),
+        return CostsPerStart(
+            machineCounts.max(),
             cluster.state.writes / starts,
             cluster.nodes.sumOf { it.calls } / starts,
             cluster.state.bytesWritten / starts,
@@ -133,12 +133,12 @@
     }
 
     @Test
-    fun `what a start costs does not grow with the fleet`() {
-        val third = worst(567)
-        val full = worst(1700)
+    fun `writes, calls and bytes per task start do not grow with the fleet`() {
+        val third = measureCostsUnderFaults(567)
+        val full = measureCostsUnderFaults(1700)
         assertTrue(full.machines > 1200, "${full.machines} machines")
-        assertTrue(full.writes < third.writes * 1.1, "${full.writes} writes a start, ${third.writes} at a third of the size")
-        assertTrue(full.calls < third.calls * 1.3, "${full.calls} calls a start, ${third.calls} at a third of the size")
-        assertTrue(full.bytes < third.bytes * 1.3, "${full.bytes} bytes a start, ${third.bytes} at a third of the size")
+        assertTrue(full.writes < third.writes * 1.1, "${full.writes} writes per start, ${third.writes} at a third of the fleet size")
+        assertTrue(full.calls < third.calls * 1.3, "${full.calls} calls per start, ${third.calls} at a third of the fleet size")
+        assertTrue(full.bytes < third.bytes * 1.3, "${full.bytes} bytes per start, ${third.bytes} at a third of the fleet size")
     }
 }
--- a/src/test/kotlin/mintpick/simulation/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GuardsTest.kt
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * One guard at a time; `docs/design.md` says which of these tests were seen to fail with their guard taken out. The
- * two of one-way machines show what is to come of them, for which silence is a second guard.
+ * Each test covers one guard of the controller. `docs/design.md` lists which of these tests failed when their guard was removed.
+ * The two tests of machines that receive no messages check the outcome only: the check for lost contact is a second guard there.
  */
 class GuardsTest {
     private fun cluster(
@@ -45,177 +45,205 @@
         estimateS: Double = 60.0,
     ): JobSpec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = tasks, cpus = 1.0, estimateS = estimateS)
 
-    private fun SimulatedCluster.settled(): SimulatedCluster = apply { run(60 * SECOND) }
+    private fun SimulatedCluster.warmUp(): SimulatedCluster = apply { run(60 * SECOND) }
 
-    /** A settled world with services that ask for no more. */
-    private fun serving(seed: Long): SimulatedCluster =
+    /** A cluster in steady state whose only jobs are six services. */
+    private fun steadyClusterWithServices(seed: Long): SimulatedCluster =
         cluster(seed).apply {
             (1..6).forEach { n -> user(service(n), null) }
-            settled()
+            warmUp()
         }
 
-    private fun SimulatedCluster.busiest(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
+    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
 
     /** Jobs whose records assign tasks to [machine]. */
-    private fun SimulatedCluster.assignedTo(machine: SimulatedAgent): Set<String> =
+    private fun SimulatedCluster.jobsAssignedTo(machine: SimulatedAgent): Set<String> =
         recordsNaming(machine.id).filterTo(HashSet()) { it.startsWith(Keys.job("")) }
 
-    private fun SimulatedCluster.replayEverywhere(report: MachineReport) = nodes.forEach { replay(report, it) }
+    private fun SimulatedCluster.replayToAllNodes(heartbeat: MachineReport) = nodes.forEach { replay(heartbeat, it) }
 
     /**
-     * Runs [check] for each machine of settled worlds with a stream of short jobs in turn, each time in a world of its own.
-     * What a machine happens to be sent differs from seed to seed, so there are several.
+     * Runs [check] once for each machine of a warmed-up cluster with a stream of short jobs, each time in a new cluster. Several
+     * seeds are used because the commands that a machine is sent differ from seed to seed.
      */
     private fun forEachMachine(
         seeds: LongRange,
         check: (SimulatedCluster, SimulatedAgent) -> Unit,
     ) {
-        val machines = seeds.sumOf { forEachMachine(it, check) }
-        assertTrue(machines > seeds.count() / 2, "$machines machines")
+        val checkedMachines = seeds.sumOf { forEachMachine(it, check) }
+        assertTrue(checkedMachines > seeds.count() / 2, "machines checked: $checkedMachines")
     }
 
     private fun forEachMachine(
         seed: Long,
         check: (SimulatedCluster, SimulatedAgent) -> Unit,
     ): Int {
-        val busy: () -> SimulatedCluster = {
+        val startCluster: () -> SimulatedCluster = {
             val cluster = cluster(seed)
             (100..150).forEach { n ->
                 cluster.after(50 * SECOND + (n - 100) * SECOND / 2) { cluster.user(batch(n, estimateS = 4.0), null) }
             }
-            cluster.settled()
+            cluster.warmUp()
         }
-        val names = busy().workers.keys.toList()
-        for (name in names) {
-            val cluster = busy()
-            check(cluster, cluster.workers.getValue(name))
+        val machineIds = startCluster().workers.keys.toList()
+        for (machineId in machineIds) {
+            val cluster = startCluster()
+            check(cluster, cluster.workers.getValue(machineId))
         }
-        return names.size
+        return machineIds.size
     }
 
-    /** `Fleet.isUnreachable`: its reports keep a machine fresh, and new work was sent to it that it never got. */
+    /**
+     * Guard: `ReachabilityTracker.isUnreachable`. Heartbeats keep a machine that receives nothing fresh, so without the guard new
+     * tasks were placed on it and their starts never arrived.
+     */
     @Test
-    fun `new work goes elsewhere once a call to a machine has failed`() {
-        var sent = 0
-        forEachMachine(61L..68L) { cluster, deaf ->
+    fun `no new tasks are placed on a machine after a call to it has failed`() {
+        var machinesWithLostStart = 0
+        forEachMachine(61L..68L) { cluster, machine ->
             cluster.cloud.out = true
-            deaf.deaf = true
-            // A call that fails has failed after a second and a half.
+            machine.deaf = true
+            // A call times out after 1.5 s.
             cluster.run(62_500 * MILLI)
-            val before = cluster.assignedTo(deaf)
+            val before = cluster.jobsAssignedTo(machine)
             cluster.run(68 * SECOND)
-            if (deaf.missed.any { it.first < 61 * SECOND }) {
-                sent++
-                assertEquals(emptySet<String>(), cluster.assignedTo(deaf) - before, deaf.id)
+            if (machine.missed.any { it.first < 61 * SECOND }) {
+                machinesWithLostStart++
+                assertEquals(emptySet<String>(), cluster.jobsAssignedTo(machine) - before, machine.id)
             }
         }
-        assertTrue(sent > 1, "$sent machines lost a start")
+        assertTrue(machinesWithLostStart > 1, "machines with a lost start: $machinesWithLostStart")
     }
 
-    /** `UnresponsiveMachines.hasOneWayConnectivity`: its reports to the others speak for a machine that hears nobody. */
+    /**
+     * Guard: `UnresponsiveMachines.hasOneWayConnectivity`. Heartbeats that still reach the other controllers make a machine that
+     * receives nothing look healthy.
+     */
     @Test
-    fun `a machine that hears nothing is returned before its lease is over`() {
-        var silent = 0
-        forEachMachine(61L..72L) { cluster, deaf ->
-            deaf.deaf = true
+    fun `a machine that receives nothing is released before its lease expires`() {
+        var machinesWithEarlyStart = 0
+        forEachMachine(61L..72L) { cluster, machine ->
+            machine.deaf = true
             cluster.run(75 * SECOND)
-            // Nothing tells of it before it is sent something; three calls and a worker's patience later it is known.
-            if (deaf.missed.any { it.first < 62 * SECOND }) {
-                silent++
-                assertFalse(deaf.id in cluster.workers, deaf.id)
+            // The fault is detectable only after a command is sent: then three calls must fail and an agent's heartbeat must time out.
+            if (machine.missed.any { it.first < 62 * SECOND }) {
+                machinesWithEarlyStart++
+                assertFalse(machine.id in cluster.workers, machine.id)
             }
         }
-        assertTrue(silent > 2, "$silent machines were sent something early")
+        assertTrue(machinesWithEarlyStart > 2, "machines that missed a start within 2 s: $machinesWithEarlyStart")
     }
 
-    /** `MachineView.recordHeartbeat`: answering a copy counted as renewing the lease, so what a dead machine held never moved. */
+    /**
+     * Guard: `MachineView.recordHeartbeat`. Without it, answering a late copy of a heartbeat counted as a lease renewal, so the
+     * tasks of a dead machine were never moved.
+     */
     @Test
-    fun `copies of a report do not keep a lapsed machine's work from moving`() {
-        val cluster = serving(63)
-        val silent = cluster.busiest()
-        val held = cluster.rules.attemptsOn(silent.id)
-        val copy = silent.report(cluster.now)
-        cluster.replayEverywhere(copy)
-        silent.hangingUntilUs = 1000 * SECOND
-        // Nobody can return it, so that only its lease proves anything.
+    fun `tasks of a machine whose lease has expired move although copies of its heartbeat arrive`() {
+        val cluster = steadyClusterWithServices(63)
+        val hanging = cluster.busiestMachine()
+        val assignedTasks = cluster.rules.attemptsOn(hanging.id)
+        val copy = hanging.report(cluster.now)
+        cluster.replayToAllNodes(copy)
+        hanging.hangingUntilUs = 1000 * SECOND
+        // The machine can't be released, so only lease expiry can prove that its tasks have ended.
         cluster.cloud.out = true
-        (1..20).forEach { n -> cluster.after(n * 2 * SECOND) { cluster.replayEverywhere(copy) } }
+        (1..20).forEach { n -> cluster.after(n * 2 * SECOND) { cluster.replayToAllNodes(copy) } }
         cluster.run(92 * SECOND)
-        assertTrue(held.all { task -> cluster.workers.values.any { it !== silent && task in cluster.rules.attemptsOn(it.id) } }, "moved")
+        val elsewhere =
+            cluster.workers.values
+                .filter { it !== hanging }
+                .flatMap { cluster.rules.attemptsOn(it.id) }
+        assertTrue(elsewhere.containsAll(assignedTasks), "all tasks of the machine run elsewhere")
         cluster.assertRulesHeld()
     }
 
-    /** `Fleet.isConfirmed`: a controller that had just started took a copy for a new machine, and wrote it down. */
+    /**
+     * Guard: `AgentIndex.isConfirmed`. Without it, a controller that had just started took a copy of a heartbeat for a new
+     * machine and added the machine to the records.
+     */
     @Test
-    fun `copies make no record of a machine that is gone`() {
-        val cluster = serving(64)
-        val gone = cluster.busiest()
-        val copies = List(4) { gone.report(cluster.now) }
-        cluster.remove(gone.id)
+    fun `copies of heartbeats do not add a terminated machine to the records`() {
+        val cluster = steadyClusterWithServices(64)
+        val terminated = cluster.busiestMachine()
+        val copies = List(4) { terminated.report(cluster.now) }
+        cluster.remove(terminated.id)
         cluster.run(90 * SECOND)
-        assertEquals(emptySet<String>(), cluster.recordsNaming(gone.id))
+        assertEquals(emptySet<String>(), cluster.recordsNaming(terminated.id))
         cluster.nodes.forEach { it.crash(SECOND / 5) }
-        copies.forEachIndexed { i, copy -> (1..4).forEach { n -> cluster.after((i * 3L + n) * SECOND) { cluster.replayEverywhere(copy) } } }
+        copies.forEachIndexed { i, copy -> (1..4).forEach { n -> cluster.after((i * 3L + n) * SECOND) { cluster.replayToAllNodes(copy) } } }
         for (at in 900..1120) {
             cluster.run(at * SECOND / 10)
-            assertEquals(emptySet<String>(), cluster.recordsNaming(gone.id), "recorded at $at")
+            assertEquals(emptySet<String>(), cluster.recordsNaming(terminated.id), "recorded at $at tenths of a second")
         }
     }
 
-    /** `CommandPlanner.hasTerminationNotice`: the notice in a copy drained a machine that nobody was to take. */
+    /**
+     * Guard: `CommandPlanner.hasTerminationNotice`. Without it, an outdated termination notice in a copy of a heartbeat drained a
+     * machine that was not going to be terminated.
+     */
     @Test
-    fun `a notice in a copy empties nothing`() {
-        val cluster = serving(65)
-        val machine = cluster.busiest()
+    fun `a termination notice in a copy of a heartbeat drains no machine`() {
+        val cluster = steadyClusterWithServices(65)
+        val machine = cluster.busiestMachine()
         machine.noticeUs = cluster.now + 20 * SECOND
         val copy = machine.report(cluster.now)
         machine.noticeUs = null
-        val kept = cluster.rules.attemptsOn(machine.id)
+        val tasksBefore = cluster.rules.attemptsOn(machine.id)
         cluster.run(70 * SECOND)
-        // Controllers that have just started know nothing newer while the machine hangs for a moment.
+        // While the machine hangs, controllers that have just started have no newer status than the copy.
         cluster.nodes.forEach { it.crash(SECOND / 5) }
         machine.hangingUntilUs = cluster.now + 4 * SECOND
-        (1..8).forEach { n -> cluster.after(n * SECOND / 4) { cluster.replayEverywhere(copy) } }
+        (1..8).forEach { n -> cluster.after(n * SECOND / 4) { cluster.replayToAllNodes(copy) } }
         cluster.run(100 * SECOND)
-        assertTrue(cluster.rules.attemptsOn(machine.id).containsAll(kept))
+        assertTrue(cluster.rules.attemptsOn(machine.id).containsAll(tasksBefore))
     }
 
-    /** `Fleet.bury`: copies made a view of a dead machine again, which was then asked again and again. */
+    /**
+     * Guard: `AgentIndex.markTerminated`. Without the tombstone, a copy of a heartbeat created a new view of a terminated
+     * machine, which was then called repeatedly.
+     */
     @Test
-    fun `nobody calls a machine that is gone because of copies`() {
-        val cluster = serving(66)
-        val gone = cluster.busiest()
-        val copies = List(15) { gone.report(cluster.now) }
-        cluster.remove(gone.id)
+    fun `copies of heartbeats cause no calls to a terminated machine`() {
+        val cluster = steadyClusterWithServices(66)
+        val terminated = cluster.busiestMachine()
+        val copies = List(15) { terminated.report(cluster.now) }
+        cluster.remove(terminated.id)
         cluster.run(90 * SECOND)
-        val calls = cluster.callsTo[gone.address]
-        // To one controller after the other: what its owner hears would keep the others from asking.
+        val callsBefore = cluster.callsTo[terminated.address]
+        // To one controller after the other: a copy that reaches the machine's controller keeps the others from calling the machine.
         copies.forEachIndexed { i, copy -> cluster.after(i * 2 * SECOND) { cluster.replay(copy, cluster.nodes[i / 5]) } }
         cluster.run(125 * SECOND)
-        assertEquals(calls, cluster.callsTo[gone.address])
+        assertEquals(callsBefore, cluster.callsTo[terminated.address])
     }
 
-    /** `Fleet.adopt` asks the machine first: copies alone once looked like a worker that keeps coming, and were adopted. */
+    /**
+     * Guard: `HeartbeatHandler.takeOver` calls the agent first. Without this call, copies alone looked like an agent that keeps
+     * sending heartbeats to the wrong controller, and its machine was taken over.
+     */
     @Test
-    fun `copies make no claim`() {
-        val cluster = serving(67)
-        val silent = cluster.busiest()
-        val copies = List(15) { silent.report(cluster.now) }
-        silent.hangingUntilUs = 1000 * SECOND
+    fun `copies of heartbeats cause no takeover of a machine`() {
+        val cluster = steadyClusterWithServices(67)
+        val hanging = cluster.busiestMachine()
+        val copies = List(15) { hanging.report(cluster.now) }
+        hanging.hangingUntilUs = 1000 * SECOND
         cluster.cloud.out = true
         cluster.run(70 * SECOND)
-        val before = cluster.claimsFor(silent)
+        val before = cluster.claimsFor(hanging)
         copies.forEachIndexed { i, copy -> cluster.after(i * 2 * SECOND) { cluster.replay(copy, cluster.nodes[i / 5]) } }
         cluster.run(105 * SECOND)
-        assertEquals(before, cluster.claimsFor(silent))
+        assertEquals(before, cluster.claimsFor(hanging))
     }
 
     private fun SimulatedCluster.claimsFor(machine: SimulatedAgent): List<Pair<String, String>> =
         state.keys().filter { it.first.startsWith(Keys.shard(0).dropLast(1)) || it.first == Keys.borrow(machine.id) }
 
-    /** The rental names hold a part of the process's own: the next one under this name asked for the same machines. */
+    /**
+     * Guard: names of rental requests contain a random part of the process (`ScaleOut`). Without it, the next process with the
+     * same controller name reused the request names and therefore requested the same machines again.
+     */
     @Test
-    fun `a process that is back at once asks for machines under names of its own`() {
+    fun `a process that restarts at once uses new names for its rental requests`() {
         val cluster = cluster(68)
         cluster.user(batch(1, tasks = 30), null)
         cluster.run(20 * SECOND)
@@ -227,26 +255,29 @@
                 .flatten()
                 .distinct()
                 .size > 1,
-            "rented in two lives: ${cluster.cloud.requestNames}",
+            "requests of more than one process: ${cluster.cloud.requestNames}",
         )
         assertTrue(
             cluster.cloud.requestNames.values
                 .all { it.size == 1 },
-            "${cluster.cloud.requestNames}",
+            "each process uses one set of names: ${cluster.cloud.requestNames}",
         )
     }
 
-    /** The raised token after a lost start: without it nothing is ever proven of that attempt, and its job never ends. */
+    /**
+     * Guard: `CommandDispatcher` raises the fencing token after the call of a start has timed out. Without the higher token,
+     * nothing is ever proven about that attempt, and its job never reaches a final stage.
+     */
     @Test
-    fun `a job that is cancelled while its start is lost comes to its end`() {
+    fun `a job that is cancelled while its start is lost reaches its final stage`() {
         val cluster = cluster(69)
         (1..3).forEach { n -> cluster.user(batch(n, estimateS = 300.0), null) }
-        cluster.settled()
+        cluster.warmUp()
         cluster.workers.values.forEach { it.deaf = true }
         cluster.user(batch(9), 1500 * MILLI)
         cluster.after(2 * SECOND) { cluster.workers.values.forEach { it.deaf = false } }
         cluster.run(100 * SECOND)
-        assertTrue(cluster.workers.values.any { worker -> worker.missed.any { "req-000009" in it.second } }, "its start was lost")
+        assertTrue(cluster.workers.values.any { worker -> worker.missed.any { "req-000009" in it.second } }, "the start was lost")
         val record =
             cluster.state
                 .keys()
@@ -255,40 +286,43 @@
         assertEquals(null, RecordCodec.decodeJob(WireJson.parseToJsonElement(record)).spec, record)
     }
 
-    /** One shared catch-up covers all polls that wait: one each would use up the state service's limits. */
+    /** All waiting polls share one catch-up. One catch-up for each poll would use up the state store's rate limits. */
     @Test
-    fun `hundreds of polls at once cost few requests`() {
+    fun `300 simultaneous polls cause fewer than 12 extra requests to the state store`() {
         val cluster = cluster(70)
         (1..10).forEach { n -> cluster.user(service(n), null) }
-        cluster.settled()
-        val idle = cluster.requestsWithin(2 * SECOND) {}
+        cluster.warmUp()
+        val idleRequests = cluster.requestsDuring(2 * SECOND) {}
         val answers = ArrayList<Answer>()
-        val busy =
-            cluster.requestsWithin(2 * SECOND) {
+        val requests =
+            cluster.requestsDuring(2 * SECOND) {
                 repeat(
                     300,
                 ) { i -> cluster.nodes[i % 3].deliver(Event.Poll(JobId("req-%06d".format(1 + i % 10)), ReplyTo { answers += it })) }
             }
         assertEquals(300, answers.count { it.status == 200 })
-        assertTrue(busy < idle + 12, "$busy requests instead of $idle")
+        assertTrue(requests < idleRequests + 12, "requests: $requests with polls, $idleRequests without")
     }
 
-    private fun SimulatedCluster.requestsWithin(
+    private fun SimulatedCluster.requestsDuring(
         span: Micros,
-        then: () -> Unit,
+        action: () -> Unit,
     ): Long {
         val before = state.requests
-        then()
+        action()
         run(now + span)
         return state.requests - before
     }
 
-    /** More than can be stored in time is refused at once, with the time to come back; polls are answered all the while. */
+    /**
+     * Submissions that can't be stored in time are refused immediately with a `Retry-After` time, and polls are answered
+     * meanwhile.
+     */
     @Test
-    fun `a flood of submissions is refused at once and holds up no polls`() {
+    fun `excess submissions are refused immediately and delay no polls`() {
         val cluster = cluster(71)
         cluster.user(service(1), null)
-        cluster.settled()
+        cluster.warmUp()
         val node = cluster.nodes[0]
         val answers = ArrayList<Answer>()
         val polls = ArrayList<Answer>()
@@ -296,13 +330,16 @@
         node.deliver(Event.Poll(JobId("req-000001"), ReplyTo { polls += it }))
         cluster.run(cluster.now + SECOND / 5)
         val refused = answers.filter { it.status == 429 }
-        assertTrue(refused.size > 300 && refused.all { (it.retryAfterS ?: 0) > 0 }, "${refused.size} refused at once")
+        assertTrue(refused.size > 300 && refused.all { (it.retryAfterS ?: 0) > 0 }, "refused immediately: ${refused.size}")
         assertEquals(listOf(200), polls.map { it.status })
     }
 
-    /** All controllers restart with the whole history to load: every job is known again at once, none is forgotten meanwhile. */
+    /**
+     * All controllers restart three times and must load the records of 600 jobs. No job may be unknown to a controller that
+     * answers users.
+     */
     @Test
-    fun `a long history is known again after all controllers restart at once`() {
+    fun `no job is lost when all controllers restart at once with 600 jobs to load`() {
         val cluster = cluster(72)
         (1..600).forEach { n -> cluster.after(n * SECOND / 12) { cluster.user(batch(n, estimateS = 1.0), null) } }
         cluster.run(120 * SECOND)
--- a/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Late, lost and repeated messages between workers and controllers, while controllers end and begin. */
+/** Delayed, lost and repeated messages between agents and controllers, combined with restarts of controllers. */
 class HeartbeatFaultCombinationsTest {
     private fun cluster(
         seed: Long,
@@ -50,24 +50,24 @@
         estimateS: Double = 300.0,
     ): JobSpec = SampleJobs.spec(id(n), team = "blue", tasks = tasks, cpus = 1.0, estimateS = estimateS)
 
-    /** A settled world with services that ask for no more. */
-    private fun serving(seed: Long): SimulatedCluster =
+    /** A cluster in steady state whose only jobs are six services. */
+    private fun steadyClusterWithServices(seed: Long): SimulatedCluster =
         cluster(seed).apply {
             (1..6).forEach { n -> user(service(n), null) }
             run(60 * SECOND)
         }
 
-    /** A settled world with services and long tasks. */
-    private fun working(seed: Long): SimulatedCluster =
+    /** A cluster in steady state with six services and six batch jobs of long tasks. */
+    private fun steadyClusterWithLongTasks(seed: Long): SimulatedCluster =
         cluster(seed).apply {
             (1..6).forEach { n -> user(service(n), null) }
             (11..16).forEach { n -> user(batch(n, tasks = 3), null) }
             run(60 * SECOND)
         }
 
-    private fun SimulatedCluster.busiest(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
+    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
 
-    private fun SimulatedCluster.machineOf(job: String): SimulatedAgent? =
+    private fun SimulatedCluster.machineRunning(job: String): SimulatedAgent? =
         workers.values.firstOrNull { worker -> rules.attemptsOn(worker.id).any { it.startsWith(job) } }
 
     private fun SimulatedCluster.record(key: String): String? = state.keys().firstOrNull { it.first == key }?.second
@@ -87,7 +87,7 @@
 
     private fun SimulatedCluster.assertNoBreach() = assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
 
-    /** A user's cancellation through [node]; what the user is told goes to the rules. */
+    /** Cancels [job] through [node] as a user does. The rule checker checks the answer. */
     private fun SimulatedCluster.cancel(
         job: String,
         node: SimulatedCluster.Node = nodes.first { it.engine != null },
@@ -97,17 +97,17 @@
         node.deliver(Event.Cancel(JobId(job), reply))
     }
 
-    private fun starts(
+    private fun containsStartOf(
         commands: List<Command>,
         job: String,
     ): Boolean = commands.any { it.verb == Verb.START && it.task.startsWith(job) }
 
     /**
-     * Scenario 10: a start is held up for a minute, its repetition with the same token is answered, and the job is
-     * cancelled: unless the token rises all the same, the first one runs it again after `cancel_s`.
+     * Scenario 10: a start is delayed by a minute, its repetition with the same token is answered, and the job is cancelled.
+     * If the fencing token is not raised, the delayed start runs the task again later than `cancel_s` after the cancellation.
      */
     @TestFactory
-    fun `a start that is held up stays harmless although its repetition was answered`() =
+    fun `a delayed start is refused although its repetition with the same token was answered`() =
         (112L..123L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, ClusterSize(machines = 1))
@@ -115,60 +115,60 @@
                 cluster.run(60 * SECOND)
                 val machine = cluster.workers.values.single()
                 val tokens = ArrayList<Long>()
-                // A cancellation of other work there has the machine called again once the first call is given up. Until
-                // then it reports to nobody, as the answer to a report would bring the start before that.
+                // Cancelling another job on the machine causes a second call to it after the first has timed out. Until then the
+                // agent's heartbeats reach no controller, because the answer to a heartbeat would contain the start.
                 cluster.messageDelays.holdUs = { _, _, batch ->
-                    if (starts(batch.commands, id(2))) tokens += batch.token
-                    val isFirst = tokens.size == 1 && cluster.messageDelays.held.isEmpty()
-                    if (isFirst) cluster.cancel(id(1))
+                    if (containsStartOf(batch.commands, id(2))) tokens += batch.token
+                    val isFirstStart = tokens.size == 1 && cluster.messageDelays.held.isEmpty()
+                    if (isFirstStart) cluster.cancel(id(1))
                     machine.mute = tokens.size == 1
-                    if (isFirst) 60 * SECOND else null
+                    if (isFirstStart) 60 * SECOND else null
                 }
                 cluster.user(batch(2), null)
                 cluster.runFor(10)
-                val late = cluster.messageDelays.held.single()
-                assertEquals(tokens[0], tokens[1], "repeated with the same token")
-                assertEquals(null, late.status, "held up")
-                assertEquals(setOf("${id(2)}/0"), cluster.rules.attemptsOn(machine.id), "its repetition was carried out")
+                val delayedBatch = cluster.messageDelays.held.single()
+                assertEquals(tokens[0], tokens[1], "the start is repeated with the same token")
+                assertEquals(null, delayedBatch.status, "the first start has not arrived yet")
+                assertEquals(setOf("${id(2)}/0"), cluster.rules.attemptsOn(machine.id), "the repeated start was executed")
                 cluster.cancel(id(2))
                 cluster.runFor(80)
-                assertEquals(409, late.status, "arrived, and was refused")
+                assertEquals(409, delayedBatch.status, "the delayed start arrived and was refused")
                 assertTrue(cluster.rules.isFinal(id(2)))
                 cluster.assertNoBreach()
             }
         }
 
     /**
-     * Scenario 12: the leader borrows a machine, sends it a start and ends; the start is held up. The machine's owner,
-     * whose claim is older than the borrowing, goes on with a token that the start exceeds.
+     * Scenario 12: the leader borrows a machine, sends it a start that is delayed, and crashes. The owner of the machine's shard
+     * takes control again, and its claim is older than the borrowing, so its token is lower than that of the delayed start.
      */
     @Test
-    fun `a start of a leader that has ended is refused after its borrowing lapsed`() {
+    fun `a delayed start of a crashed leader is refused after its borrowing has expired`() {
         val cluster = cluster(102)
         (1..6).forEach { n -> cluster.user(service(n), null) }
         cluster.run(60 * SECOND)
         val leader = cluster.leader()
-        // What the leader knows of the machines is older than the jobs that follow.
+        // The leader's status of each machine is older than the jobs that follow.
         cluster.workers.values.forEach { cluster.replay(it.report(cluster.now), leader) }
         (11..18).forEach { n -> cluster.user(batch(n), null) }
         cluster.runFor(8)
-        val job = (11..18).map(::id).first { job -> cluster.machineOf(job)?.let { cluster.owner(it) !== leader } ?: false }
-        val machine = requireNotNull(cluster.machineOf(job))
+        val job = (11..18).map(::id).first { job -> cluster.machineRunning(job)?.let { cluster.owner(it) !== leader } ?: false }
+        val machine = requireNotNull(cluster.machineRunning(job))
         cluster.messageDelays.holdUs = { from, to, _ -> if (from === leader && to === machine) 70 * SECOND else null }
         cluster.borrow(machine, leader)
         cluster.runFor(1)
-        val late = cluster.messageDelays.held.first { starts(it.batch.commands, job) }
+        val delayedBatch = cluster.messageDelays.held.first { containsStartOf(it.batch.commands, job) }
         leader.crash(200 * SECOND)
         cluster.runFor(9)
-        assertEquals(null, cluster.claim(Keys.borrow(machine.id)), "the borrowing has lapsed")
+        assertEquals(null, cluster.claim(Keys.borrow(machine.id)), "the borrowing has expired")
         cluster.cancel(job)
         cluster.runFor(80)
         assertTrue(cluster.leader() !== leader)
-        assertEquals(409, late.status, "arrived, and was refused")
+        assertEquals(409, delayedBatch.status, "the delayed start arrived and was refused")
         cluster.assertNoBreach()
     }
 
-    /** What `Ownership.borrow` writes for [leader]. */
+    /** Writes the records that `MachineControl.borrow` writes for [leader]. */
     private fun SimulatedCluster.borrow(
         machine: SimulatedAgent,
         leader: SimulatedCluster.Node,
@@ -184,11 +184,14 @@
         assertEquals(200, state.transact(Transaction(listOf(Guard(Keys.borrow(machine.id), 0)), writes)).status)
     }
 
-    /** A hanging machine with services that is to be emptied: its owner has heard of a notice and can't stop them. */
-    private fun SimulatedCluster.emptying(): SimulatedAgent {
-        val machine = busiest()
+    /**
+     * Drains a hanging machine that runs services and returns it. Its controller has received a termination notice and can't stop
+     * the tasks.
+     */
+    private fun SimulatedCluster.drainHangingMachine(): SimulatedAgent {
+        val machine = busiestMachine()
         machine.hangingUntilUs = now + 12 * SECOND
-        // Nobody can return it, so that only reports prove anything.
+        // The machine can't be released, so only its agent's status can prove that its tasks have ended.
         cloud.out = true
         replay(machine.report(now).copy(noticeS = 60.0), owner(machine))
         runFor(1)
@@ -196,72 +199,84 @@
         return machine
     }
 
-    private fun SimulatedCluster.assertKeptUntilHeard(machine: SimulatedAgent) {
-        val held = rules.attemptsOn(machine.id)
-        assertTrue(held.isNotEmpty())
+    private fun SimulatedCluster.assertTasksKeptUntilNextStatus(machine: SimulatedAgent) {
+        val assignedTasks = rules.attemptsOn(machine.id)
+        assertTrue(assignedTasks.isNotEmpty())
         run(machine.hangingUntilUs - SECOND)
-        assertEquals(held, rules.attemptsOn(machine.id), "nothing was proven yet")
+        assertEquals(assignedTasks, rules.attemptsOn(machine.id), "no task may move before the agent has sent a new status")
         runFor(30)
         val elsewhere = workers.values.filter { it !== machine }.flatMap { rules.attemptsOn(it.id) }
-        assertTrue(elsewhere.containsAll(held), "moved")
+        assertTrue(elsewhere.containsAll(assignedTasks), "all tasks have moved to other machines")
         assertNoBreach()
     }
 
-    /** Scenario 3: a report from before a machine's tasks came, or from its earlier session, would prove them gone. */
+    /**
+     * Scenario 3: a delayed heartbeat from before a machine received its tasks, or from an earlier agent epoch, lists none of
+     * them. If it counted as the newest status, it would prove that they have ended.
+     */
     @TestFactory
-    fun `an old report after newer ones proves nothing`() =
+    fun `a delayed heartbeat that arrives after newer ones proves nothing`() =
         listOf("same session", "earlier session").map { name ->
             DynamicTest.dynamicTest(name) {
-                val cluster = serving(103)
+                val cluster = steadyClusterWithServices(103)
                 if (name == "earlier session") {
                     cluster.workers.values.forEach { it.mute = true }
                     cluster.runFor(20)
                     cluster.workers.values.forEach { it.mute = false }
                     cluster.runFor(10)
                 }
-                val session = cluster.busiest().session
-                val old = cluster.busiest().report(cluster.now).copy(tasks = emptyList())
-                val machine = cluster.emptying()
-                assertEquals(old.machine, machine.id)
-                val copy = if (name == "earlier session") old.copy(agentEpoch = session - 1, seq = old.seq + 1000) else old
+                val agentEpoch = cluster.busiestMachine().session
+                val oldHeartbeat = cluster.busiestMachine().report(cluster.now).copy(tasks = emptyList())
+                val machine = cluster.drainHangingMachine()
+                assertEquals(oldHeartbeat.machine, machine.id)
+                val isFromEarlierEpoch = name == "earlier session"
+                val copy =
+                    if (isFromEarlierEpoch) {
+                        oldHeartbeat.copy(
+                            agentEpoch = agentEpoch - 1,
+                            seq = oldHeartbeat.seq + 1000,
+                        )
+                    } else {
+                        oldHeartbeat
+                    }
                 assertTrue(copy.agentEpoch >= 1)
                 (0L..4L).forEach { at -> cluster.after(at * SECOND) { cluster.nodes.forEach { cluster.replay(copy, it) } } }
-                cluster.assertKeptUntilHeard(machine)
+                cluster.assertTasksKeptUntilNextStatus(machine)
             }
         }
 
-    /** Meetings 9 and 16: controllers that have just begun know nothing newer than the copy; it must not move work. */
+    /** Scenarios 9 and 16: controllers that have just started have no newer status than the copy; it must not move tasks. */
     @Test
-    fun `an old report that a new leader gets first proves nothing`() {
-        val cluster = serving(104)
-        cluster.messageDelays.keep(cluster.busiest().report(cluster.now).copy(tasks = emptyList()))
-        val machine = cluster.emptying()
-        val before = cluster.claim(Keys.LEADER)
+    fun `a delayed heartbeat that is the first one a new leader receives proves nothing`() {
+        val cluster = steadyClusterWithServices(104)
+        cluster.messageDelays.keep(cluster.busiestMachine().report(cluster.now).copy(tasks = emptyList()))
+        val machine = cluster.drainHangingMachine()
+        val oldClaim = cluster.claim(Keys.LEADER)
         cluster.nodes.forEach { it.crash(SECOND / 5) }
         cluster.runFor(6)
-        assertTrue(cluster.claim(Keys.LEADER) != before, "a new process leads")
+        assertTrue(cluster.claim(Keys.LEADER) != oldClaim, "a new process is the leader")
         assertEquals(1 to 1, cluster.messageDelays.leadersReached to cluster.messageDelays.copiesDelivered)
-        cluster.assertKeptUntilHeard(machine)
+        cluster.assertTasksKeptUntilNextStatus(machine)
     }
 
-    /** Scenario 2: what can't be asked stays where it is until its lease has lapsed, and never runs twice. */
+    /** Scenario 2: tasks on unreachable machines stay assigned there until the lease has expired, and never run twice. */
     @TestFactory
-    fun `long tasks on machines out of touch survive the end of a leader`() =
+    fun `long tasks on unreachable machines run exactly once after a leader crash`() =
         listOf(8L to false, 8L to true, 30L to false, 30L to true).map { (span, deaf) ->
             DynamicTest.dynamicTest("$span s ${if (deaf) "deaf" else "hanging"}") {
-                val cluster = working(105)
-                val out = cluster.workers.values.filterIndexed { i, _ -> i % 2 == 0 }
-                assertTrue(out.any { cluster.rules.attemptsOn(it.id).isNotEmpty() })
-                out.forEach { if (deaf) it.deaf = true else it.hangingUntilUs = cluster.now + span * SECOND }
-                // Nobody can return them, so that only their leases prove anything.
+                val cluster = steadyClusterWithLongTasks(105)
+                val unreachable = cluster.workers.values.filterIndexed { i, _ -> i % 2 == 0 }
+                assertTrue(unreachable.any { cluster.rules.attemptsOn(it.id).isNotEmpty() })
+                unreachable.forEach { if (deaf) it.deaf = true else it.hangingUntilUs = cluster.now + span * SECOND }
+                // The machines can't be released, so only lease expiry can prove that their tasks have ended.
                 cluster.cloud.out = true
-                val before = cluster.leader()
-                val claim = cluster.claim(Keys.LEADER)
-                cluster.after(SECOND) { before.crash(SECOND / 2) }
+                val oldLeader = cluster.leader()
+                val oldClaim = cluster.claim(Keys.LEADER)
+                cluster.after(SECOND) { oldLeader.crash(SECOND / 2) }
                 cluster.runFor(span)
-                out.forEach { it.deaf = false }
+                unreachable.forEach { it.deaf = false }
                 cluster.cloud.out = false
-                assertTrue(cluster.claim(Keys.LEADER) != claim, "another leads")
+                assertTrue(cluster.claim(Keys.LEADER) != oldClaim, "the leader has changed")
                 cluster.runFor(100)
                 val running = cluster.workers.keys.sumOf { cluster.rules.attemptsOn(it).size }
                 assertEquals(12 + 18, running)
@@ -270,41 +285,45 @@
         }
 
     /**
-     * Scenario 22: leases lapse again and again though commands arrive. What lapsed was not sent again until reports
-     * came, minutes later; and what is sent counts, though nobody's answer renews a lease.
+     * Scenario 22: direct commands reach the machines but their heartbeats reach no controller, so their leases expire repeatedly.
+     * Tasks killed by lease expiry were not started again until heartbeats arrived, minutes later. Commands that are sent must
+     * take effect although no answer renews a lease.
      */
     @TestFactory
-    fun `machines that reach no controller neither double work nor keep what was cancelled`() =
+    fun `machines whose heartbeats reach no controller run no task twice and stop cancelled ones`() =
         listOf("north", "south", "everywhere").map { zone ->
             DynamicTest.dynamicTest(zone) {
-                val cluster = working(106)
-                val mute = cluster.workers.values.filter { it.zone == zone || zone == "everywhere" }
-                assertTrue(mute.any { cluster.rules.attemptsOn(it.id).isNotEmpty() })
-                mute.forEach { it.mute = true }
+                val cluster = steadyClusterWithLongTasks(106)
+                val affected = cluster.workers.values.filter { it.zone == zone || zone == "everywhere" }
+                assertTrue(affected.any { cluster.rules.attemptsOn(it.id).isNotEmpty() })
+                affected.forEach { it.mute = true }
                 cluster.runFor(10)
-                val job = (1..16).map(::id).first { job -> cluster.machineOf(job)?.mute ?: false }
+                val job = (1..16).map(::id).first { job -> cluster.machineRunning(job)?.mute ?: false }
                 cluster.cancel(job)
                 cluster.runFor(3)
-                assertEquals(null, cluster.machineOf(job), "stopped by direct command")
+                assertEquals(null, cluster.machineRunning(job), "the cancelled job was stopped by a direct command")
                 cluster.runFor(30)
-                assertTrue(mute.any { it.session > 2 }, "their leases have lapsed twice")
+                assertTrue(affected.any { it.session > 2 }, "leases have expired at least twice")
                 val services = (1..6).map(::id) - job
-                val absent = services.filter { cluster.machineOf(it) == null }
-                assertEquals(emptyList<String>(), absent, "started again by direct command")
-                val claim = cluster.claim(Keys.LEADER)
+                val absent = services.filter { cluster.machineRunning(it) == null }
+                assertEquals(emptyList<String>(), absent, "services were started again by direct commands")
+                val oldClaim = cluster.claim(Keys.LEADER)
                 cluster.leader().crash(4 * SECOND)
                 cluster.runFor(40)
-                assertTrue(cluster.claim(Keys.LEADER) != claim, "a new process leads")
-                mute.forEach { it.mute = false }
+                assertTrue(cluster.claim(Keys.LEADER) != oldClaim, "a new process is the leader")
+                affected.forEach { it.mute = false }
                 cluster.runFor(60)
-                assertEquals(emptyList<String>(), services.filter { cluster.machineOf(it) == null })
+                assertEquals(emptyList<String>(), services.filter { cluster.machineRunning(it) == null })
                 cluster.assertNoBreach()
             }
         }
 
-    /** All of these in drawn order: late copies, copies for the next leader, late commands, mute and deaf machines. */
+    /**
+     * All these faults in random order: late copies of heartbeats, copies that reach the next leader, late commands, and machines
+     * that can't send, can't receive or hang.
+     */
     @TestFactory
-    fun `rules hold while messages are late and leaders change`() =
+    fun `all rules hold while messages are delayed and the leader changes`() =
         (111L..116L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, faultRates = FaultRates(copied = 150, lostAnswer = 4))
@@ -316,26 +335,26 @@
                     val spec = batch(n, tasks = 1 + cluster.random.nextInt(4), estimateS = 3.0 + cluster.random.nextInt(30))
                     cluster.after(20 * SECOND + cluster.random.nextLong(90 * SECOND)) { cluster.user(spec, cancelAfter) }
                 }
-                repeat(5) { cluster.after((35L + it * 18) * SECOND) { cluster.scenario() } }
+                repeat(5) { cluster.after((35L + it * 18) * SECOND) { cluster.injectFault() } }
                 cluster.run(260 * SECOND)
-                assertTrue(cluster.messageDelays.leadersReached > 0, "copies met a new leader")
-                val late = cluster.messageDelays.held.mapNotNullTo(HashSet()) { it.status }
-                assertEquals(setOf(200, 409), late, "late commands carried out, and refused")
+                assertTrue(cluster.messageDelays.leadersReached > 0, "copies of heartbeats reached a new leader")
+                val statuses = cluster.messageDelays.held.mapNotNullTo(HashSet()) { it.status }
+                assertEquals(setOf(200, 409), statuses, "some late commands were executed and some refused")
                 cluster.assertNoBreach()
             }
         }
 
-    private fun SimulatedCluster.scenario() {
+    private fun SimulatedCluster.injectFault() {
         leader().crash(random.nextLong(8 * SECOND))
-        val some = workers.values.filter { random.nextInt(4) == 0 }
+        val affected = workers.values.filter { random.nextInt(4) == 0 }
         val span = 3 * SECOND + random.nextLong(30 * SECOND)
         when (random.nextInt(3)) {
-            0 -> some.forEach { it.mute = true }
-            1 -> some.forEach { it.deaf = true }
-            else -> some.forEach { it.hangingUntilUs = now + span / 2 + 500 * MILLI }
+            0 -> affected.forEach { it.mute = true }
+            1 -> affected.forEach { it.deaf = true }
+            else -> affected.forEach { it.hangingUntilUs = now + span / 2 + 500 * MILLI }
         }
         after(span) {
-            some.forEach {
+            affected.forEach {
                 it.mute = false
                 it.deaf = false
             }
--- a/src/test/kotlin/mintpick/simulation/LeadershipFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/LeadershipFaultCombinationsTest.kt
@@ -28,7 +28,10 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Two faults that meet at changes of leader, zones and limits: each comes about, and leaves nothing stuck. */
+/**
+ * Pairs of simultaneous faults around leader changes, zones and team limits. Each test checks that the faults occurred and that
+ * the cluster recovers completely.
+ */
 class LeadershipFaultCombinationsTest {
     private fun cluster(
         seed: Long,
@@ -37,9 +40,9 @@
         settingsOf: (Int) -> Settings = { SampleJobs.settings(it) },
     ) = SimulatedCluster(seed, faultRates, size, settingsOf)
 
-    /** Both teams have a limit. */
-    private fun limited(index: Int): Settings =
-        Settings.parse(SampleJobs.toml(index).replace("name = \"blue\"", "name = \"blue\"\ncpus_max = $BLUE"))
+    /** Settings in which both teams have a limit. */
+    private fun settingsWithLimits(index: Int): Settings =
+        Settings.parse(SampleJobs.toml(index).replace("name = \"blue\"", "name = \"blue\"\ncpus_max = $BLUE_CPU_LIMIT"))
 
     private fun id(n: Int) = "req-%06d".format(n)
 
@@ -65,26 +68,26 @@
 
     private fun SimulatedCluster.isRunning(n: Int): Boolean = isRunning(requireNotNull(rules.spec(id(n))))
 
-    private fun SimulatedCluster.every(
+    private fun SimulatedCluster.repeatEvery(
         span: Micros,
-        run: () -> Unit,
+        action: () -> Unit,
     ) {
         after(span) {
-            run()
-            every(span, run)
+            action()
+            repeatEvery(span, action)
         }
     }
 
-    /** Runs on after the last fault, and checks all rules, also that nothing is left waiting or unanswered. */
-    private fun SimulatedCluster.recover(span: Micros = 130 * SECOND) {
+    /** Continues for [span] after the last fault. All rules must hold, also those that no job or request is left waiting. */
+    private fun SimulatedCluster.assertRecovers(span: Micros = 130 * SECOND) {
         rules.faultsOverSinceUs = now
         WaitingJobRule(this, nodes[0].settings.teams.associate { it.name to it.cpusMax }).watch()
         run(now + span)
         assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
     }
 
-    /** So many machines, and no more to be had, each with a long task and room for another of six processors. */
-    private fun partlyFilled(
+    /** A cluster limited to [machines] machines, each with one long task of 10 CPUs and 6 free CPUs. */
+    private fun partlyFilledCluster(
         seed: Long,
         machines: Int,
     ): SimulatedCluster =
@@ -100,44 +103,50 @@
     ) = SampleJobs.spec(id(n), "blue", tasks, JobKind.GANG, cpus = 6.0, estimateS = 900.0, spot = false)
 
     /**
-     * The leader borrowed as many machines as one transaction takes. Those could have held the gang, had they been
-     * empty, and so it never looked at the others' again, and the gang waited for ever beside room for all of it.
+     * The leader borrowed as many machines as fit into one transaction. They could have held the gang if they had been empty, so
+     * the leader never considered the other controllers' machines again. The gang waited forever although there was capacity.
      */
     @Test
-    fun `a gang runs that needs more machines than are borrowed at once`() {
-        val cluster = partlyFilled(201, 9)
+    fun `a gang that needs more machines than one transaction can borrow is placed`() {
+        val cluster = partlyFilledCluster(201, 9)
         val gang = gang(20, 9)
         cluster.user(gang, null)
-        cluster.recover(100 * SECOND)
+        cluster.assertRecovers(100 * SECOND)
         assertTrue(cluster.isRunning(gang))
     }
 
-    /** Calls that failed in a cut were kept for ever: a leader that had lost its machines could never borrow any. */
+    /**
+     * Failed calls from a network partition were remembered forever, so a leader that had lost its machines during the partition
+     * could never borrow any.
+     */
     @Test
-    fun `a leader that was cut off from its workers serves again afterwards`() {
-        val cluster = partlyFilled(203, 14)
-        // The one whose shards hold most of these machines has to lead.
-        val cut = cluster.nodes.maxBy { cluster.shardsInUse(it) }
-        if (cluster.leader() !== cut) cluster.nodes.filter { it !== cut }.forEach { it.crash(8 * SECOND) }
+    fun `a leader that was partitioned from its agents borrows machines again afterwards`() {
+        val cluster = partlyFilledCluster(203, 14)
+        // The controller whose shards contain the most machines must be the leader.
+        val partitioned = cluster.nodes.maxBy { cluster.shardsInUse(it) }
+        if (cluster.leader() !== partitioned) cluster.nodes.filter { it !== partitioned }.forEach { it.crash(8 * SECOND) }
         cluster.run(140 * SECOND)
-        assertEquals(cut, cluster.leader())
-        assertTrue(cluster.shardsInUse(cut) > 3, "the leader has machines to lose")
-        cut.cutFromWorkers = true
+        assertEquals(partitioned, cluster.leader())
+        assertTrue(cluster.shardsInUse(partitioned) > 3, "the leader owns more than three shards with machines")
+        partitioned.cutFromWorkers = true
         cluster.run(210 * SECOND)
-        val adopted = cluster.state.keys().count { it.first.startsWith(Keys.borrow("")) } + 8 - cluster.claimsOf(cut)
-        assertTrue(adopted > 2, "$adopted claims and borrowings")
-        assertEquals(cut, cluster.leader())
-        cut.cutFromWorkers = false
+        val takenOver = cluster.state.keys().count { it.first.startsWith(Keys.borrow("")) } + 8 - cluster.claimsOf(partitioned)
+        assertTrue(takenOver > 2, "shards and machines taken over by others: $takenOver")
+        assertEquals(partitioned, cluster.leader())
+        partitioned.cutFromWorkers = false
         cluster.run(230 * SECOND)
         val gang = gang(20, 14)
         cluster.user(gang, null)
-        cluster.recover(100 * SECOND)
+        cluster.assertRecovers(100 * SECOND)
         assertTrue(cluster.isRunning(gang))
     }
 
-    /** Jobs bound to this zone, to any one zone and to both: after a cut in which machines die all run again. */
+    /**
+     * Jobs that are bound to the partitioned zone, to any single zone, or spread over zones. Half of the zone's machines
+     * terminate during or after the network partition. All jobs must run again.
+     */
     @TestFactory
-    fun `zone-bound jobs survive a long cut of their zone and the loss of machines`() =
+    fun `zone-bound jobs run again after a long partition of their zone and the loss of machines`() =
         (211L..214L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, size = ClusterSize(machines = 24))
@@ -147,43 +156,46 @@
                 cluster.run(50 * SECOND)
                 val south = cluster.workers.values.filter { it.zone == "south" }
                 val lost = south.filterIndexed { i, _ -> i % 2 == 0 }.map { it.id }
-                assertTrue(lost.sumOf { cluster.rules.attemptsOn(it).size } > 2, "bound tasks are lost")
+                assertTrue(lost.sumOf { cluster.rules.attemptsOn(it).size } > 2, "tasks ran on the lost machines")
                 cluster.zoneOut = "south"
                 if (seed % 2 == 0L) cluster.after(10 * SECOND) { lost.forEach(cluster::remove) }
                 if (seed > 212) cluster.after(12 * SECOND) { cluster.nodes[0].crash(SECOND / 2) }
                 cluster.run(50 * SECOND + 25 * SECOND + (seed - 210) * 10 * SECOND)
                 cluster.zoneOut = null
                 lost.forEach(cluster::remove)
-                cluster.recover()
+                cluster.assertRecovers()
                 (1..10).forEach { n -> assertTrue(cluster.isRunning(n), id(n)) }
             }
         }
 
-    /** Leaders that end or lose their leases again and again, also while nobody is served, lose and double nothing. */
+    /**
+     * Leaders crash or lose their leases repeatedly, also during an outage of the state store. No job may be lost and no task may
+     * run twice.
+     */
     @TestFactory
-    fun `ten changes of leader in two minutes, also inside an outage`() =
+    fun `all rules hold over ten leader changes in two minutes with a state store outage`() =
         (221L..223L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed)
                 val leaders = LinkedHashSet<ClaimRecord>()
-                cluster.every(100 * MILLI) { cluster.leadership()?.let(leaders::add) }
+                cluster.repeatEvery(100 * MILLI) { cluster.leadership()?.let(leaders::add) }
                 (1..4).forEach { n -> cluster.user(service(n), null) }
                 (5..40).forEach { n ->
-                    val cancelled = if (n % 4 == 0) 6 * SECOND else null
-                    cluster.after(n * 3 * SECOND) { cluster.user(batch(n, 2, 20.0, cpus = 2.0), cancelled) }
+                    val cancelAfter = if (n % 4 == 0) 6 * SECOND else null
+                    cluster.after(n * 3 * SECOND) { cluster.user(batch(n, 2, 20.0, cpus = 2.0), cancelAfter) }
                 }
                 cluster.run(30 * SECOND)
-                val before = leaders.size
-                (0..11).forEach { n -> cluster.after(n * 10 * SECOND) { cluster.change(n) } }
+                val changesBefore = leaders.size
+                (0..11).forEach { n -> cluster.after(n * 10 * SECOND) { cluster.changeLeader(n) } }
                 cluster.after(61 * SECOND) { cluster.state.out = true }
                 cluster.after(75 * SECOND) { cluster.state.out = false }
                 cluster.run(150 * SECOND)
-                assertTrue(leaders.size - before >= 10, "${leaders.size - before} changes")
-                cluster.recover()
+                assertTrue(leaders.size - changesBefore >= 10, "leader changes: ${leaders.size - changesBefore}")
+                cluster.assertRecovers()
             }
         }
 
-    private fun SimulatedCluster.change(n: Int) {
+    private fun SimulatedCluster.changeLeader(n: Int) {
         val leader = leadership()?.let { leader() } ?: nodes[n % 3]
         if (n % 3 == 0) {
             leader.cutFromState = true
@@ -193,90 +205,96 @@
         }
     }
 
-    /** Over slow links urgent work passes what fills the cluster, and what waits is placed as soon as there is room. */
+    /**
+     * Calls to the state store and to agents are slow, and there is more work than capacity. Services take precedence over the
+     * batch jobs that fill the cluster, and waiting jobs are placed as soon as capacity is free.
+     */
     @Test
-    fun `more work than room over slow links`() {
+    fun `services run first and waiting jobs are placed when an overloaded cluster has slow links`() {
         val cluster = cluster(231, size = ClusterSize(machines = 14, spot = 8))
         cluster.linkDelay = { _, call ->
-            val slow = call.target is Target.State || call.target is Target.Worker
-            if (slow && cluster.now in 20 * SECOND..140 * SECOND) 200 * MILLI + cluster.random.nextLong(600 * MILLI) else 0
+            val isSlowTarget = call.target is Target.State || call.target is Target.Worker
+            if (isSlowTarget && cluster.now in 20 * SECOND..140 * SECOND) 200 * MILLI + cluster.random.nextLong(600 * MILLI) else 0
         }
         (1..50).forEach { n -> cluster.after(n * SECOND) { cluster.user(batch(n, 8, 20.0, cpus = 2.0), null) } }
         (51..60).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
         cluster.run(75 * SECOND)
         val waiting = cluster.rules.wanted().sumOf { it.tasks } - cluster.rules.running.size
-        assertTrue(waiting > 100, "$waiting tasks wait or are over")
+        assertTrue(waiting > 100, "tasks not running: $waiting")
         cluster.run(120 * SECOND)
-        (51..60).forEach { n -> assertTrue(cluster.isRunning(n), "urgent ${id(n)}") }
+        (51..60).forEach { n -> assertTrue(cluster.isRunning(n), "service ${id(n)}") }
         cluster.run(140 * SECOND)
-        cluster.recover(200 * SECOND)
+        cluster.assertRecovers(200 * SECOND)
     }
 
-    /** What may still run on machines that nobody can ask counts for its team, also for a new leader. */
+    /** Tasks that may still run on unresponsive machines count towards their team's limit, also for a new leader. */
     @TestFactory
-    fun `teams at their limit while jobs on silent machines are cancelled and the leader changes`() =
+    fun `team limits hold while jobs on unresponsive machines are cancelled and the leader changes`() =
         (241L..246L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val cluster = cluster(seed, settingsOf = ::limited)
+                val cluster = cluster(seed, settingsOf = ::settingsWithLimits)
                 val teams = listOf("red", "blue")
                 (1..36).forEach { n ->
-                    val cancelled = if (n % 3 == 0) 60 * SECOND else null
-                    cluster.user(batch(n, 2, 200.0, cpus = 2.0, team = teams[n % 2]), cancelled)
+                    val cancelAfter = if (n % 3 == 0) 60 * SECOND else null
+                    cluster.user(batch(n, 2, 200.0, cpus = 2.0, team = teams[n % 2]), cancelAfter)
                 }
                 cluster.run(59 * SECOND)
-                assertEquals(listOf(24.0, BLUE), teams.map { cluster.usedBy(it) }, "both teams are at their limit")
+                assertEquals(listOf(24.0, BLUE_CPU_LIMIT), teams.map { cluster.cpusUsedBy(it) }, "both teams are at their limit")
                 if (seed % 2 == 0L) cluster.cloud.out = true
                 if (seed % 3 == 0L) cluster.zonesCut = true
-                // Whatever the draw, one of them runs a task that is about to be cancelled.
-                val cancelled =
+                // At least one hanging machine must run a task that is about to be cancelled.
+                val taskToCancel =
                     cluster.rules.running.keys
                         .first { it.substringBefore('/').takeLast(6).toInt() % 3 == 0 }
                 cluster.workers.values.forEach {
-                    if (cluster.random.nextInt(3) > 0 || cancelled in cluster.rules.attemptsOn(it.id)) {
+                    if (cluster.random.nextInt(3) > 0 || taskToCancel in cluster.rules.attemptsOn(it.id)) {
                         it.hangingUntilUs = 105 * SECOND
                     }
                 }
-                val before = cluster.leadership()
-                val down = SECOND * (seed % 4) + SECOND / 4
-                cluster.after(500 * MILLI + cluster.random.nextLong(3 * SECOND)) { cluster.leader().crash(down) }
+                val oldLeadership = cluster.leadership()
+                val downtime = SECOND * (seed % 4) + SECOND / 4
+                cluster.after(500 * MILLI + cluster.random.nextLong(3 * SECOND)) { cluster.leader().crash(downtime) }
                 cluster.run(63 * SECOND)
-                val silent = cluster.rules.running.filterKeys { cluster.rules.isFinal(it.substringBefore('/')) }
-                assertTrue(silent.isNotEmpty(), "cancelled tasks still run where nobody can ask")
+                val runningAfterCancel = cluster.rules.running.filterKeys { cluster.rules.isFinal(it.substringBefore('/')) }
+                assertTrue(runningAfterCancel.isNotEmpty(), "cancelled tasks still run on unresponsive machines")
                 cluster.run(105 * SECOND)
                 cluster.zonesCut = false
                 cluster.cloud.out = false
-                assertNotEquals(before, cluster.leadership())
-                cluster.recover()
-                assertEquals(listOf(24.0, BLUE), teams.map { cluster.usedBy(it) }, "both are at their limit again")
+                assertNotEquals(oldLeadership, cluster.leadership())
+                cluster.assertRecovers()
+                assertEquals(listOf(24.0, BLUE_CPU_LIMIT), teams.map { cluster.cpusUsedBy(it) }, "both teams are at their limit again")
             }
         }
 
-    private fun SimulatedCluster.usedBy(team: String): Double =
+    private fun SimulatedCluster.cpusUsedBy(team: String): Double =
         rules.running.keys
             .mapNotNull { rules.spec(it.substringBefore('/')) }
             .filter { it.team == team }
             .sumOf { it.cpus }
 
-    /** Leases kill all work while nobody serves; afterwards it runs again, and what was cancelled does not. */
+    /** All leases expire, so the agents kill all tasks. Afterwards all jobs run again, except those that were cancelled. */
     @Test
-    fun `all controllers are away for longer than a lease`() {
+    fun `open jobs run again and cancelled ones do not after all controllers were down for longer than a lease`() {
         val cluster = cluster(251)
         (1..6).forEach { n -> cluster.user(service(n), null) }
         (7..16).forEach { n -> cluster.user(batch(n, 3, 300.0), if (n % 3 == 0) 49 * SECOND else null) }
         cluster.run(50 * SECOND)
         val running = cluster.rules.running.size
-        assertTrue(running > 20, "$running run")
+        assertTrue(running > 20, "running tasks: $running")
         cluster.nodes.forEach { it.crash(26 * SECOND + cluster.random.nextLong(4 * SECOND)) }
         cluster.run(75 * SECOND)
         assertEquals(emptySet<String>(), cluster.rules.running.keys)
         cluster.run(81 * SECOND)
-        cluster.recover()
+        cluster.assertRecovers()
         (1..16).forEach { n -> assertEquals(n < 7 || n % 3 != 0, cluster.isRunning(n), id(n)) }
     }
 
-    /** The end of a task is written seconds later: whoever comes next learns of it from the worker, and once. */
+    /**
+     * The completion of a task is written seconds later. If all controllers crash in between, their successors learn of it from
+     * the agent and must count it once. If the machine is lost too, the task runs once more.
+     */
     @TestFactory
-    fun `tasks that end far apart across a change of leader run once and count once`() =
+    fun `a completion that is not yet stored when the leader changes is counted once`() =
         listOf(false, true).map { machineGone ->
             DynamicTest.dynamicTest("machine gone: $machineGone") {
                 val cluster = cluster(261)
@@ -286,79 +304,67 @@
                     cluster.runTimes["${job.id}/1"] = 65 * SECOND
                     cluster.user(job, null)
                 }
-                val done = HashMap<String, Int>()
-                cluster.every(100 * MILLI) { jobs.forEach { cluster.checkRecord(it, done) } }
-                while (cluster.unwritten(jobs, done).isEmpty() && cluster.now < 99 * SECOND) cluster.run(cluster.now + TENTH)
+                val doneByJob = HashMap<String, Int>()
+                cluster.repeatEvery(100 * MILLI) { jobs.forEach { cluster.checkRecord(it, doneByJob) } }
+                while (cluster.unwritten(jobs, doneByJob).isEmpty() && cluster.now < 99 * SECOND) cluster.run(cluster.now + STEP)
                 cluster.run(cluster.now + 500 * MILLI)
-                val unwritten = cluster.unwritten(jobs, done)
-                assertTrue(unwritten.isNotEmpty(), "an end that is not written yet")
-                val holders = cluster.workers.values.filter { w -> w.report(0).tasks.any { it.task in unwritten } }
+                val unwritten = cluster.unwritten(jobs, doneByJob)
+                assertTrue(unwritten.isNotEmpty(), "a completion is not written yet")
+                val reportingMachines = cluster.workers.values.filter { w -> w.report(0).tasks.any { it.task in unwritten } }
                 cluster.nodes.forEach { it.crash(3 * SECOND) }
-                if (machineGone) holders.forEach { cluster.remove(it.id) }
+                if (machineGone) reportingMachines.forEach { cluster.remove(it.id) }
                 cluster.run(cluster.now + 4 * SECOND)
-                cluster.recover(160 * SECOND)
+                cluster.assertRecovers(160 * SECOND)
                 val starts = unwritten.map { cluster.rules.startsOf[it] }.toSet()
                 assertEquals(setOf(if (machineGone) 2 else 1), starts)
-                assertTrue(jobs.all { cluster.rules.isFinal(it.id) }, "all are done")
+                assertTrue(jobs.all { cluster.rules.isFinal(it.id) }, "all jobs are done")
             }
         }
 
-    /** A process that is back at once meets its own earlier claims and requests, and perhaps an election. */
+    /**
+     * A process that restarts at once finds claims and delayed requests of its predecessor, and possibly an election that is in
+     * progress.
+     */
     @TestFactory
-    fun `all controllers end and one is back at once while old requests still arrive`() =
+    fun `all rules hold when all controllers crash and one restarts at once while old requests still arrive`() =
         (271L..276L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed)
-                var late = 0
+                var lateArrivals = 0
                 cluster.linkDelay = { from, call ->
-                    val during = 56 * SECOND..60_500 * MILLI
-                    val held = call.path == "/multi" && cluster.now in during && cluster.random.nextInt(2) == 0
-                    val process = from.name
-                    val delay = if (held) 2 * SECOND + cluster.random.nextLong(8 * SECOND) else 0
-                    if (held) cluster.after(delay) { if (from.name != process) late++ }
+                    val delayedPeriod = 56 * SECOND..60_500 * MILLI
+                    val isDelayed = call.path == "/multi" && cluster.now in delayedPeriod && cluster.random.nextInt(2) == 0
+                    val sender = from.name
+                    val delay = if (isDelayed) 2 * SECOND + cluster.random.nextLong(8 * SECOND) else 0
+                    if (isDelayed) cluster.after(delay) { if (from.name != sender) lateArrivals++ }
                     delay
                 }
                 (1..5).forEach { n -> cluster.user(service(n), null) }
                 (6..60).forEach { n ->
                     val at = 50 * SECOND + (n - 6) * SECOND / 4
-                    cluster.after(at) {
-                        cluster.user(
-                            batch(
-                                n,
-                                2,
-                                15.0,
-                                team =
-                                    if (n % 2 ==
-                                        0
-                                    ) {
-                                        "red"
-                                    } else {
-                                        "blue"
-                                    },
-                            ),
-                            if (n % 4 == 0) 3 * SECOND else null,
-                        )
-                    }
+                    val team = if (n % 2 == 0) "red" else "blue"
+                    val cancelAfter = if (n % 4 == 0) 3 * SECOND else null
+                    cluster.after(at) { cluster.user(batch(n, 2, 15.0, team = team), cancelAfter) }
                 }
                 cluster.run(57 * SECOND)
                 cluster.leader().crash(SECOND / 4)
                 cluster.run(60_500 * MILLI)
-                val first = (seed % 3).toInt()
-                val down = cluster.random.nextLong(SECOND / 2)
-                cluster.nodes.forEachIndexed { i, node -> node.crash(if (i == first) down else 12 * SECOND) }
-                // The lease of whoever led before is about to end, or has just ended.
-                val again = 4 * SECOND + cluster.random.nextLong(2 * SECOND)
-                cluster.after(again) { cluster.nodes[first].crash(cluster.random.nextLong(SECOND / 3)) }
+                val firstRestarted = (seed % 3).toInt()
+                val downtime = cluster.random.nextLong(SECOND / 2)
+                cluster.nodes.forEachIndexed { i, node -> node.crash(if (i == firstRestarted) downtime else 12 * SECOND) }
+                // The previous leader's lease is about to expire or has just expired.
+                val secondCrashAfter = 4 * SECOND + cluster.random.nextLong(2 * SECOND)
+                cluster.after(secondCrashAfter) { cluster.nodes[firstRestarted].crash(cluster.random.nextLong(SECOND / 3)) }
                 cluster.after(13 * SECOND) { cluster.leader().crash(SECOND / 5) }
                 cluster.run(76 * SECOND)
-                assertTrue(late > 0, "requests of an ended process arrived")
-                cluster.recover()
+                assertTrue(lateArrivals > 0, "delayed requests of a crashed process arrived")
+                cluster.assertRecovers()
                 assertTrue((6..60).all { cluster.rules.isFinal(id(it)) })
             }
         }
 
     private companion object {
-        const val BLUE = 16.0
-        const val TENTH: Micros = 100 * MILLI
+        const val BLUE_CPU_LIMIT = 16.0
+        const val STEP: Micros = 100 * MILLI
     }
 }
--- a/src/test/kotlin/mintpick/simulation/ModelTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ModelTest.kt
@@ -18,16 +18,16 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Drives three engines through drawn faults and checks the rules from the simulated services' own view. */
+/** Drives three engines through random faults and checks the rules by the state of the simulated machines and services. */
 class ModelTest {
     private fun cluster(
         seed: Long,
         faultRates: FaultRates,
     ) = SimulatedCluster(seed, faultRates) { SampleJobs.settings(it) }
 
-    private fun SimulatedCluster.jobs(
+    private fun SimulatedCluster.submitRandomJobs(
         count: Int,
-        overUs: Micros,
+        periodUs: Micros,
     ): List<String> =
         (1..count).map { n ->
             val id = "req-%06d".format(n)
@@ -45,14 +45,14 @@
                     oneZone = !service && random.nextInt(4) == 0,
                     estimateS = 2.0 + random.nextInt(15),
                 )
-            after(random.nextLong(overUs)) { user(spec, if (random.nextInt(6) == 0) random.nextLong(30 * SECOND) else null) }
+            after(random.nextLong(periodUs)) { user(spec, if (random.nextInt(6) == 0) random.nextLong(30 * SECOND) else null) }
             id
         }
 
     @Test
-    fun `a quiet hour finishes every job`() {
+    fun `without faults every job is accepted and no rule is broken`() {
         val cluster = cluster(1, FaultRates())
-        val jobs = cluster.jobs(20, 30 * SECOND)
+        val jobs = cluster.submitRandomJobs(20, 30 * SECOND)
         cluster.run(180 * SECOND)
         cluster.assertRulesHeld()
         assertTrue(cluster.rules.starts > 20)
@@ -60,11 +60,11 @@
     }
 
     @TestFactory
-    fun `rules hold through drawn faults`() =
+    fun `no rule is broken through random faults`() =
         (1L..14L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates(lost = 4, lostAnswer = 4, late = 6))
-                cluster.jobs(24, 60 * SECOND)
+                cluster.submitRandomJobs(24, 60 * SECOND)
                 repeat(
                     9,
                 ) {
@@ -84,7 +84,7 @@
         }
 
     @Test
-    fun `the largest job is accepted, runs in part, and is cancelled in time`() {
+    fun `the largest job is accepted, partially placed, and cancelled within the bound`() {
         val cluster = cluster(5, FaultRates())
         val spec = SampleJobs.spec("req-000001", team = "blue", tasks = 100_000, cpus = 1.0, estimateS = 5.0)
         cluster.after(SECOND) { cluster.user(spec, 60 * SECOND) }
@@ -94,9 +94,12 @@
         assertTrue(cluster.rules.isFinal("req-000001"))
     }
 
-    /** Machines beyond a cut once were returned one by one while their own zone's controller could serve them. */
+    /**
+     * Guards against releasing machines beyond a network partition, one by one, although the controller in their own zone can
+     * serve them.
+     */
     @Test
-    fun `a cut between zones costs no machines that the other side serves`() {
+    fun `a network partition between zones releases no machines that the other side serves`() {
         val cluster = cluster(3, FaultRates())
         (1..4).forEach { n ->
             val spec =
@@ -104,44 +107,48 @@
             cluster.after(n * SECOND) { cluster.user(spec, null) }
         }
         cluster.run(60 * SECOND)
-        val running = cluster.workers.keys.toSet()
-        val starts = cluster.rules.starts
+        val machinesBefore = cluster.workers.keys.toSet()
+        val startsBefore = cluster.rules.starts
         cluster.zonesCut = true
         cluster.run(85 * SECOND)
         cluster.zonesCut = false
         cluster.run(100 * SECOND)
         cluster.assertRulesHeld()
-        assertEquals(8, starts)
-        assertEquals(starts, cluster.rules.starts, "no replica had to move")
-        assertTrue(running.isNotEmpty() && cluster.workers.keys.containsAll(running))
+        assertEquals(8, startsBefore)
+        assertEquals(startsBefore, cluster.rules.starts, "starts before and after the partition")
+        assertTrue(machinesBefore.isNotEmpty() && cluster.workers.keys.containsAll(machinesBefore))
     }
 
-    private fun spread(n: Int) = SampleJobs.service(n, tasks = 4, spread = true)
+    private fun spreadService(n: Int) = SampleJobs.service(n, tasks = 4, spread = true)
 
     /**
-     * Two thirds of a zone that was cut off once lost their leases, and were returned, beside a controller that could
-     * have kept them: it answers for their owners, who take that into account and know when it must have ended.
+     * Two thirds of the machines in an isolated zone lost their leases and were released, although the controller in the zone
+     * could have kept them. That controller must answer heartbeats on behalf of the owners, which take these renewals into
+     * account and know when they must have ended.
      */
     @Test
-    fun `a zone cut off for longer than a lease keeps its work`() {
+    fun `tasks in a zone isolated for longer than a lease keep running`() {
         val cluster = cluster(21, FaultRates())
-        (1..5).forEach { n -> cluster.after(n * SECOND) { cluster.user(spread(n), null) } }
+        (1..5).forEach { n -> cluster.after(n * SECOND) { cluster.user(spreadService(n), null) } }
         cluster.run(60 * SECOND)
-        val running = cluster.workers.keys.toSet()
-        val starts = cluster.rules.starts
+        val machinesBefore = cluster.workers.keys.toSet()
+        val startsBefore = cluster.rules.starts
         cluster.zoneOut = "south"
         cluster.run(90 * SECOND)
         cluster.zoneOut = null
         cluster.run(130 * SECOND)
         cluster.assertRulesHeld()
-        assertEquals(20, starts)
-        assertEquals(starts, cluster.rules.starts, "no replica had to move")
-        assertTrue(cluster.workers.keys.containsAll(running), "no machine was returned")
+        assertEquals(20, startsBefore)
+        assertEquals(startsBefore, cluster.rules.starts, "starts before and after the partition")
+        assertTrue(cluster.workers.keys.containsAll(machinesBefore), "machines were released")
     }
 
-    /** A leader that lost its workers alone once returned them, services first, and took back what others had adopted. */
+    /**
+     * Guards against a leader that loses contact only with its agents and then releases their machines, those of services first,
+     * and claims back shards that its peers had taken over.
+     */
     @Test
-    fun `a controller cut off from its workers alone returns none of them`() {
+    fun `a controller isolated only from its agents releases none of their machines`() {
         val cluster = SimulatedCluster(22, FaultRates(), ClusterSize(machines = 60)) { SampleJobs.settings(it) }
         (1..24).forEach { n ->
             val spec =
@@ -149,35 +156,38 @@
             cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
         }
         cluster.run(60 * SECOND)
-        val running =
+        val busyMachines =
             cluster.workers.values
                 .filter { cluster.rules.attemptsOn(it.id).isNotEmpty() }
                 .map { it.id }
-        val starts = cluster.rules.starts
-        val cut = cluster.leader()
-        cut.cutFromWorkers = true
+        val startsBefore = cluster.rules.starts
+        val isolated = cluster.leader()
+        isolated.cutFromWorkers = true
         cluster.run(110 * SECOND)
-        cut.cutFromWorkers = false
+        isolated.cutFromWorkers = false
         cluster.run(140 * SECOND)
         cluster.assertRulesHeld()
         assertTrue(
-            running.size > 9 && cluster.workers.keys.containsAll(running),
-            "${running.size} machines, ${running.count { it !in cluster.workers }} returned",
+            busyMachines.size > 9 && cluster.workers.keys.containsAll(busyMachines),
+            "${busyMachines.size} machines, ${busyMachines.count { it !in cluster.workers }} released",
         )
-        assertEquals(starts, cluster.rules.starts, "no replica had to move")
+        assertEquals(startsBefore, cluster.rules.starts, "starts before and after the partition")
     }
 
-    /** Whoever stands in ends in time for cancellations, and nobody takes over before that: with the cloud down only leases tell. */
+    /**
+     * A controller that answers heartbeats on behalf of an owner must stop early enough for cancellations to take effect, and no
+     * task may be moved before. With the cloud down, only expired leases show that a machine runs nothing.
+     */
     @TestFactory
-    fun `a zone cut off for long breaks no rule`() =
+    fun `no rule is broken while a zone is isolated for a long time`() =
         (31L..42L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates())
-                cluster.jobs(16, 40 * SECOND)
+                cluster.submitRandomJobs(16, 40 * SECOND)
                 (41..45).forEach { n ->
                     cluster.after(n * SECOND / 4) {
                         cluster.user(
-                            spread(n),
+                            spreadService(n),
                             if (n % 2 ==
                                 0
                             ) {
@@ -190,7 +200,7 @@
                 }
                 cluster.run(60 * SECOND)
                 if (seed % 2 == 0L) cluster.cloud.out = true
-                // Of the two controllers in the north each hears the other, and neither hears who is served.
+                // The two controllers in the north receive hints from each other, but from no controller that the state store serves.
                 cluster.zoneOut = if (seed < 36) "south" else "north"
                 if (seed % 3 == 0L) cluster.nodes[2].crash(5 * SECOND)
                 if (seed % 4 == 0L) cluster.after(5 * SECOND) { cluster.nodes[1].crash(SECOND / 3) }
--- a/src/test/kotlin/mintpick/simulation/ProcessPauseTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ProcessPauseTest.kt
@@ -12,17 +12,17 @@
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** Controllers that are paused for seconds or a minute and then go on, their clocks having gone on meanwhile. */
+/** Controllers whose process is paused for three to seventy seconds and then resumes, while its clocks keep running. */
 class ProcessPauseTest {
     @TestFactory
-    fun `a controller whose process is paused costs no machine, no replica and no rule`() =
-        listOf(3L, 9L, 20L, 45L, 70L).flatMap { span ->
-            (81L..83L).map { seed -> DynamicTest.dynamicTest("$span s, seed $seed") { standsStill(seed, span) } }
+    fun `no service machine is released, no replica is lost and no rule is broken when the leader process is paused`() =
+        listOf(3L, 9L, 20L, 45L, 70L).flatMap { pauseS ->
+            (81L..83L).map { seed -> DynamicTest.dynamicTest("$pauseS s, seed $seed") { checkPause(seed, pauseS) } }
         }
 
-    private fun standsStill(
+    private fun checkPause(
         seed: Long,
-        span: Long,
+        pauseS: Long,
     ) {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize()) { SampleJobs.settings(it) }
         (1..6).forEach { n -> cluster.after(n * SECOND / 2) { cluster.user(SampleJobs.service(n), null) } }
@@ -31,19 +31,22 @@
             cluster.after((n - 20) * 3 * SECOND) { cluster.user(spec, if (n % 5 == 0) 6 * SECOND else null) }
         }
         cluster.run(50 * SECOND)
-        val machines = cluster.workers.keys.filterTo(HashSet()) { cluster.rules.attemptsOn(it).any { task -> task < "req-000007" } }
-        assertTrue(machines.isNotEmpty())
-        cluster.leader().pauseProcess(span * SECOND)
-        cluster.run((50 + span) * SECOND)
+        val serviceMachines = cluster.workers.keys.filterTo(HashSet()) { cluster.rules.attemptsOn(it).any { task -> task < "req-000007" } }
+        assertTrue(serviceMachines.isNotEmpty())
+        cluster.leader().pauseProcess(pauseS * SECOND)
+        cluster.run((50 + pauseS) * SECOND)
         cluster.rules.faultsOverSinceUs = cluster.now
-        cluster.run((50 + span + 20) * SECOND)
-        assertTrue(cluster.workers.keys.containsAll(machines), "machines were given up: ${machines - cluster.workers.keys}")
-        val replicas =
+        cluster.run((50 + pauseS + 20) * SECOND)
+        assertTrue(
+            cluster.workers.keys.containsAll(serviceMachines),
+            "service machines released: ${serviceMachines - cluster.workers.keys}",
+        )
+        val runningReplicas =
             (1..6).sumOf { n ->
                 cluster.workers.keys.sumOf { m -> cluster.rules.attemptsOn(m).count { it.startsWith("req-%06d/".format(n)) } }
             }
-        assertEquals(12, replicas, "replicas that run")
-        cluster.run((50 + span + 120) * SECOND)
+        assertEquals(12, runningReplicas, "running replicas")
+        cluster.run((50 + pauseS + 120) * SECOND)
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
+++ b/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
@@ -14,38 +14,38 @@
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** Machines that boot at once meet writes that lag and the end of the leader. */
+/** Machines that boot quickly while writes are carried out late and the leader crashes. */
 class QuickBootTest {
-    /** Machines are up within two seconds and get work while writes are carried out late, and the leader ends. */
+    /** New machines boot within two seconds and receive tasks while a quarter of the transactions is carried out late and unanswered. */
     @TestFactory
-    fun `machines that are up at once finish their work while writes lag and the leader ends`() =
+    fun `tasks on quickly booted machines complete although writes are late and the leader crashes`() =
         (41L..46L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster =
                     SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 12, boots = SECOND..2 * SECOND)) { SampleJobs.settings(it) }
                 cluster.run(20 * SECOND)
-                val before = cluster.workers.keys.toSet()
+                val machinesBefore = cluster.workers.keys.toSet()
                 cluster.stateStoreFaults.lost = 250
                 val jobs = (1..16).map { n -> SampleJobs.spec("req-%06d".format(n), "blue", 2, cpus = 3.0, estimateS = 8.0) }
                 jobs.forEachIndexed { n, job -> cluster.after(n * SECOND / 8) { cluster.user(job, null) } }
                 val leader = cluster.leader()
                 cluster.after(4 * SECOND) { leader.crash(12 * SECOND) }
-                val given = HashSet<String>()
+                val newMachinesUsed = HashSet<String>()
                 (1..60).forEach { n ->
                     cluster.after(n * 250 * MILLI) {
-                        given += cluster.rules.running.values
-                            .map { it.machine } - before
+                        newMachinesUsed += cluster.rules.running.values
+                            .map { it.machine } - machinesBefore
                     }
                 }
                 cluster.run(36 * SECOND)
-                val next = cluster.leader()
+                val nextLeader = cluster.leader()
                 cluster.stateStoreFaults.lost = 0
                 cluster.rules.faultsOverSinceUs = cluster.now + 12 * SECOND
                 cluster.run(90 * SECOND)
-                assertTrue(given.isNotEmpty(), "no new machine got work")
+                assertTrue(newMachinesUsed.isNotEmpty(), "no new machine received a task")
                 assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "no write was carried out late")
-                assertNotEquals(leader.settings.node, next.settings.node)
-                assertEquals(emptyList<String>(), jobs.map { it.id }.filter { !cluster.rules.isFinal(it) }, "not ended")
+                assertNotEquals(leader.settings.node, nextLeader.settings.node)
+                assertEquals(emptyList<String>(), jobs.map { it.id }.filter { !cluster.rules.isFinal(it) }, "jobs not finished")
                 cluster.assertRulesHeld()
             }
         }
--- a/src/test/kotlin/mintpick/simulation/RandomFaultsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/RandomFaultsTest.kt
@@ -6,13 +6,13 @@
 import java.util.TreeMap
 
 /**
- * Short days on which two or three faults meet, drawn by fixed seeds; every rule is checked throughout. The ordinary test
- * run plays a few of them; `mvn test -Pexplore` plays hundreds, or as many as `-Dmintpick.days=` says, from the seed
- * `-Dmintpick.first=` on.
+ * Simulates short days with two or three overlapping faults, chosen at random from fixed seeds, and checks every rule throughout.
+ * The ordinary test run simulates [ORDINARY_DAYS] of them. `mvn test -Pexplore` simulates hundreds, or as many as
+ * `-Dmintpick.days=` sets, starting at the seed `-Dmintpick.first=`.
  */
 class RandomFaultsTest {
     @Test
-    fun `no rule breaks on days on which two or three faults meet`() {
+    fun `no rule is broken on days with two or three overlapping faults`() {
         val first = java.lang.Long.getLong("mintpick.first", 1)
         val count = Integer.getInteger("mintpick.days", ORDINARY_DAYS)
         val days =
@@ -23,8 +23,8 @@
                 .toList()
         val kinds = days.flatMap { it.faults }.groupingBy { it }.eachCountTo(TreeMap())
         println("drawn days: ${days.size} from seed $first on, starts: ${days.sumOf { it.starts }}, faults: $kinds")
-        val broken = days.filter { it.breaches.isNotEmpty() }
-        assertEquals(emptyList<String>(), broken.map { "seed ${it.seed} with ${it.faults}: ${it.breaches}" })
+        val failedDays = days.filter { it.breaches.isNotEmpty() }
+        assertEquals(emptyList<String>(), failedDays.map { "seed ${it.seed} with ${it.faults}: ${it.breaches}" })
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/simulation/RuleCheckerTest.kt
+++ b/src/test/kotlin/mintpick/simulation/RuleCheckerTest.kt
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Each checker must fail on a fault made on purpose: otherwise the model test proves nothing. */
+/** Checks that [RuleChecker] detects a deliberate violation of each rule. Otherwise the simulation tests prove nothing. */
 class RuleCheckerTest {
     private val north = RuleChecker.SimPlace("m1", "north", false)
     private val south = RuleChecker.SimPlace("m2", "south", false)
 
-    private fun rules() = RuleChecker(43 * SECOND, mapOf("red" to 4.0)).apply { submitted(SampleJobs.spec(spot = false, cpus = 2.0)) }
+    private fun newChecker() = RuleChecker(43 * SECOND, mapOf("red" to 4.0)).apply { submitted(SampleJobs.spec(spot = false, cpus = 2.0)) }
 
-    private val faults: Map<String, (RuleChecker) -> Unit> =
+    private val violations: Map<String, (RuleChecker) -> Unit> =
         mapOf(
             "ran_twice" to { r ->
                 r.started("req-000001/0", north, 1)
@@ -94,24 +94,24 @@
         )
 
     @TestFactory
-    fun `each rule's checker sees its fault`() =
-        faults.map { (rule, fault) ->
+    fun `a violation of each rule is detected`() =
+        violations.map { (rule, violate) ->
             DynamicTest.dynamicTest(rule) {
-                val rules = rules()
-                fault(rules)
+                val rules = newChecker()
+                violate(rules)
                 assertTrue(rules.breaches.any { it.startsWith(if (":" in rule) rule else "$rule:") }, "${rules.breaches}")
             }
         }
 
-    /** What waits has room beside it, or else nobody is to blame. */
+    /** A job counts as left waiting only if a machine has capacity for it while its team is below its limit. */
     @Test
-    fun `a job that waits for its team's limit or a machine that fits is not left waiting`() {
-        val rules = rules()
+    fun `a job that waits for its team's limit or for a machine with capacity breaks no rule`() {
+        val rules = newChecker()
         rules.faultsOverSinceUs = 0
         rules.told("req-000001", JobStage.QUEUED, 0)
         val large = RuleChecker.Room(north, "large", 16.0, 64.0)
         for (second in 0L..200L) {
-            val (room, held) =
+            val (room, assigned) =
                 if (second % 2 ==
                     0L
                 ) {
@@ -119,14 +119,14 @@
                 } else {
                     large.copy(cpus = 1.0) to emptySet()
                 }
-            rules.checkWaiting(listOf(room), held, second * SECOND)
+            rules.checkWaiting(listOf(room), assigned, second * SECOND)
         }
         assertEquals(emptyList<String>(), rules.breaches)
     }
 
     @Test
-    fun `of two answers that were under way at once neither is older`() {
-        val rules = rules()
+    fun `contradictory answers to concurrent requests break no rule`() {
+        val rules = newChecker()
         rules.told("req-000001", JobStage.QUEUED, 5)
         rules.told("req-000001", null, 6, askedUs = 4)
         rules.cancelRequested("req-000001")
@@ -136,8 +136,8 @@
     }
 
     @Test
-    fun `an ordinary life breaks nothing`() {
-        val rules = rules()
+    fun `a job that is queued, runs and completes breaks no rule`() {
+        val rules = newChecker()
         rules.told("req-000001", JobStage.QUEUED, 0)
         (0..2).forEach {
             rules.started("req-000001/$it", if (it == 1) south else north, 1)
--- a/src/test/kotlin/mintpick/simulation/ServiceGuaranteesTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ServiceGuaranteesTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** The rules and faults that came with growth, each as a failure that its guard prevents. */
+/** Rules for services and for fleets that grow. Each test reproduces a failure that a guard in the engine prevents. */
 class ServiceGuaranteesTest {
     private fun cluster(
         seed: Long,
@@ -31,108 +31,114 @@
         tasks: Int = 2,
     ): JobSpec = SampleJobs.service(n, tasks = tasks)
 
-    private fun SimulatedCluster.services(count: Int) = (1..count).forEach { n -> after(n * SECOND / 2) { user(service(n), null) } }
+    private fun SimulatedCluster.submitServices(count: Int) = (1..count).forEach { n -> after(n * SECOND / 2) { user(service(n), null) } }
 
-    private fun SimulatedCluster.busiest(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
+    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
 
     /**
-     * Once a machine whose reports alone get through was taken for alive: it kept its replicas, and got new ones,
-     * until its lease ran out again and again.
+     * A machine whose heartbeats arrive while no answers or commands reach it was considered alive. It kept its replicas and
+     * received new ones, although its lease expired again and again.
      */
     @Test
-    fun `a machine that commands do not reach is released, and its work runs elsewhere`() {
+    fun `a machine that commands do not reach is released, and its tasks run on other machines`() {
         val cluster = cluster(11)
-        cluster.services(6)
+        cluster.submitServices(6)
         cluster.run(60 * SECOND)
-        val deaf = cluster.busiest()
-        val held = cluster.rules.attemptsOn(deaf.id)
-        assertTrue(held.isNotEmpty())
-        deaf.deaf = true
+        val unreachable = cluster.busiestMachine()
+        val tasksBefore = cluster.rules.attemptsOn(unreachable.id)
+        assertTrue(tasksBefore.isNotEmpty())
+        unreachable.deaf = true
         cluster.run(64 * SECOND)
         (7..10).forEach { n -> cluster.user(service(n), null) }
         cluster.run(100 * SECOND)
-        assertFalse(deaf.id in cluster.workers, "released")
-        assertTrue(held.all { task -> cluster.workers.values.any { task in cluster.rules.attemptsOn(it.id) } }, "moved")
+        assertFalse(unreachable.id in cluster.workers, "the unreachable machine is not released")
+        assertTrue(tasksBefore.all { task -> cluster.workers.values.any { task in cluster.rules.attemptsOn(it.id) } }, "tasks not moved")
         assertTrue(
             (7..10).all { n ->
                 cluster.workers.values.any { w ->
                     cluster.rules.attemptsOn(w.id).any { it.startsWith("req-%06d".format(n)) }
                 }
             },
-            "nobody waits for it",
+            "new services wait for the unreachable machine",
         )
         cluster.assertRulesHeld()
     }
 
-    /** A start that is sent once and lost blocks its task until the session rises; a second one must not follow it there. */
+    /**
+     * A start command that is lost blocks its task until the agent epoch increases. No further start may be sent to the same
+     * machine.
+     */
     @Test
-    fun `nothing new is placed where a call has failed`() {
+    fun `no new task is placed on a machine after a call to it has failed`() {
         val cluster = cluster(12)
-        cluster.services(4)
+        cluster.submitServices(4)
         cluster.run(60 * SECOND)
-        val deaf = cluster.busiest()
-        deaf.deaf = true
+        val unreachable = cluster.busiestMachine()
+        unreachable.deaf = true
         cluster.cloud.out = true
         cluster.run(66 * SECOND)
         (5..12).forEach { n -> cluster.user(service(n, tasks = 1), null) }
         cluster.run(76 * SECOND)
-        val late =
+        val notStarted =
             (5..12).count { n ->
                 cluster.workers.values.none { w -> cluster.rules.attemptsOn(w.id).any { it.startsWith("req-%06d".format(n)) } }
             }
-        assertTrue(late <= 1, "$late of 8 wait for a machine that does not hear")
-        // With the cloud down its own lease settles what it held.
+        assertTrue(notStarted <= 1, "$notStarted of 8 services wait for an unreachable machine")
+        // With the cloud down, its tasks can be requeued only after its lease has expired.
         cluster.run(100 * SECOND)
         cluster.assertRulesHeld()
     }
 
-    /** Copies of its reports arrive after a machine is gone, also at controllers that have just started and know no better. */
+    /** Copies of old heartbeats arrive after a machine has been terminated, also at controllers that have just restarted. */
     @Test
-    fun `late copies revive nothing, prove nothing and drain nothing`() {
+    fun `late copies of heartbeats restore no terminated machine, move no task and drain no machine`() {
         val cluster = cluster(13)
-        cluster.services(6)
+        cluster.submitServices(6)
         cluster.run(60 * SECOND)
-        val gone = cluster.busiest()
-        gone.noticeUs = cluster.now + 20 * SECOND
-        val copies = List(3) { gone.report(cluster.now) }
-        gone.noticeUs = null
-        cluster.remove(gone.id)
-        val other = cluster.workers.values.first { it !== gone }
-        val kept = cluster.rules.attemptsOn(other.id)
+        val removed = cluster.busiestMachine()
+        removed.noticeUs = cluster.now + 20 * SECOND
+        val copies = List(3) { removed.report(cluster.now) }
+        removed.noticeUs = null
+        cluster.remove(removed.id)
+        val other = cluster.workers.values.first { it !== removed }
+        val tasksBefore = cluster.rules.attemptsOn(other.id)
         other.noticeUs = cluster.now + 20 * SECOND
-        val old = other.report(cluster.now).copy(tasks = emptyList())
+        val outdated = other.report(cluster.now).copy(tasks = emptyList())
         other.noticeUs = null
         cluster.run(85 * SECOND)
         cluster.nodes.forEach { it.crash(SECOND / 5) }
         for (at in listOf(1L, 3L, 6L, 9L)) {
             cluster.after(at * SECOND) {
                 copies.forEach { copy -> cluster.nodes.forEach { cluster.replay(copy, it) } }
-                cluster.nodes.forEach { cluster.replay(old, it) }
+                cluster.nodes.forEach { cluster.replay(outdated, it) }
             }
         }
         cluster.run(130 * SECOND)
         cluster.assertRulesHeld()
-        assertEquals(emptySet<String>(), cluster.recordsNaming(gone.id), "no record of a machine that is gone")
-        assertEquals(kept, cluster.rules.attemptsOn(other.id).intersect(kept), "its work stays where it is")
-        assertTrue(other.id in cluster.workers)
+        assertEquals(emptySet<String>(), cluster.recordsNaming(removed.id), "records that name the terminated machine")
+        assertEquals(tasksBefore, cluster.rules.attemptsOn(other.id).intersect(tasksBefore), "tasks that stay on the other machine")
+        assertTrue(other.id in cluster.workers, "the other machine is drained")
     }
 
-    /** A controller that sees its workers alone keeps services up, in time for cancellations, and returns without harm. */
+    /**
+     * A controller that reaches only its agents keeps services running, but only as long as unknown cancellations cannot become
+     * overdue. It resumes without harm when it reaches the state store and its peers again.
+     */
     @Test
-    fun `a controller without state service and peers neither doubles nor loses work`() {
-        for (span in listOf(10L, 45L)) {
-            val cluster = cluster(14 + span)
-            cluster.services(6)
+    fun `a controller without state store and peers neither duplicates nor loses tasks`() {
+        for (outageS in listOf(10L, 45L)) {
+            val cluster = cluster(14 + outageS)
+            cluster.submitServices(6)
             cluster.after(70 * SECOND) { cluster.user(service(20), 5 * SECOND) }
             cluster.run(60 * SECOND)
             val node = cluster.nodes[0]
             node.cutFromState = true
             node.cutFromPeers = true
-            cluster.run((60 + span) * SECOND)
+            cluster.run((60 + outageS) * SECOND)
             node.cutFromState = false
             node.cutFromPeers = false
             cluster.rules.faultsOverSinceUs = cluster.now
-            cluster.run((140 + span) * SECOND)
+            cluster.run((140 + outageS) * SECOND)
             cluster.assertRulesHeld()
             assertTrue(
                 (1..6).all { n ->
@@ -148,7 +154,7 @@
     }
 
     @TestFactory
-    fun `every job stays known and is served through drawn faults and quick returns`() =
+    fun `every job stays known and is served through random short faults`() =
         (31L..38L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 60))
@@ -192,32 +198,35 @@
         }
 
     /**
-     * Controllers that refuse each other's connections are all alive: each took whole shards from the others, who took
-     * them back with the next report, and hundreds of tasks were killed by leases that nobody's answers renewed.
+     * Controllers that cannot connect to each other are all alive. Each claimed whole shards from the others, which claimed them
+     * back at the next heartbeat. Hundreds of tasks were killed because no controller renewed the leases of their agents.
      */
     @Test
-    fun `controllers that do not hear each other do not pass shards back and forth`() {
+    fun `controllers that receive no hints from each other do not claim shards back and forth`() {
         val cluster = cluster(45, size = ClusterSize(machines = 90))
         (1..20).forEach { n ->
             cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 10, cpus = 2.0, estimateS = 500.0), null)
         }
         cluster.run(60 * SECOND)
-        val before = cluster.state.writesByKind["s"] ?: 0
+        val claimsBefore = cluster.state.writesByKind["s"] ?: 0
         cluster.nodes.forEach { it.cutFromPeers = true }
-        // Workers of new machines report to any controller first.
+        // Agents of new machines send their first heartbeat to any controller.
         (21..40).forEach { n ->
             cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 10, cpus = 2.0, estimateS = 500.0), null)
         }
         cluster.run(100 * SECOND)
-        val claims = (cluster.state.writesByKind["s"] ?: 0) - before
-        // Each part in both zones may change hands once or twice; without the guard it was over four hundred times.
+        val claims = (cluster.state.writesByKind["s"] ?: 0) - claimsBefore
+        // The owner of each shard in both zones may change once or twice. Without the guard there were over four hundred claims.
         assertTrue(claims in 1..60, "$claims claims")
         cluster.assertRulesHeld()
     }
 
-    /** Without its bound the handicap of large jobs grows with their size, and while small ones keep coming they never begin. */
+    /**
+     * Guards the bound on the size handicap in `JobQueue`. Without it, the handicap grows with the size of the job, and the
+     * largest jobs never start while small ones keep arriving.
+     */
     @Test
-    fun `the largest jobs begin while small ones keep coming`() {
+    fun `the largest job starts while small jobs keep arriving`() {
         val cluster = cluster(41)
         cluster.user(SampleJobs.spec("req-900000", team = "blue", tasks = 900, estimateS = 40.0), null)
         (1..260).forEach { n ->
@@ -226,8 +235,8 @@
             ) { cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 14, estimateS = 12.0), null) }
         }
         cluster.run(260 * SECOND)
-        val began = cluster.rules.startOf("req-900000")
-        assertTrue(began != null && began < 240 * SECOND, "began at $began")
+        val startedUs = cluster.rules.startOf("req-900000")
+        assertTrue(startedUs != null && startedUs < 240 * SECOND, "started at $startedUs us")
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/SlowBootTest.kt
+++ b/src/test/kotlin/mintpick/simulation/SlowBootTest.kt
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Machines that come up several times as late as their type says, or never. */
+/** Machines that take several times as long to boot as their type specifies, or never boot. */
 class SlowBootTest {
     private fun cluster(seed: Long): SimulatedCluster {
         val cluster =
@@ -22,23 +22,23 @@
         return cluster
     }
 
-    private fun SimulatedCluster.done(): Int = (1..24).count { rules.isComplete("req-%06d".format(it)) }
+    private fun SimulatedCluster.completedJobs(): Int = (1..24).count { rules.isComplete("req-%06d".format(it)) }
 
     @Test
-    fun `a fleet that boots late is not rented several times over`() {
-        val usual = cluster(75).apply { run(120 * SECOND) }
-        val late = cluster(75).apply { cloud.bootFactor = { 4 } }
-        late.run(120 * SECOND)
-        assertTrue(late.done() == 24, "${late.done()} jobs done")
-        assertTrue(late.cloud.rented < usual.cloud.rented * 2, "${late.cloud.rented} machines rented instead of ${usual.cloud.rented}")
-        late.assertRulesHeld()
+    fun `fewer than twice as many machines are rented when all of them take four times as long to boot`() {
+        val onTime = cluster(75).apply { run(120 * SECOND) }
+        val slow = cluster(75).apply { cloud.bootFactor = { 4 } }
+        slow.run(120 * SECOND)
+        assertTrue(slow.completedJobs() == 24, "${slow.completedJobs()} jobs completed")
+        assertTrue(slow.cloud.rented < onTime.cloud.rented * 2, "${slow.cloud.rented} machines rented instead of ${onTime.cloud.rented}")
+        slow.assertRulesHeld()
     }
 
     @Test
-    fun `where a zone's machines never come up, the other zone's do the work`() {
+    fun `all jobs complete in the other zone when the machines of one zone never boot`() {
         val cluster = cluster(76).apply { cloud.bootFactor = { if (it.zone == "north") null else 1 } }
         cluster.run(150 * SECOND)
-        assertTrue(cluster.done() == 24, "${cluster.done()} jobs done")
+        assertTrue(cluster.completedJobs() == 24, "${cluster.completedJobs()} jobs completed")
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -39,22 +39,25 @@
 import org.junit.jupiter.api.TestFactory
 import java.util.SplittableRandom
 
-/** Faults of the state service that meet others: what is carried out late or unanswered, slow, or refused to one alone. */
+/**
+ * Faults of the state store combined with others: answers that are late or lost while records are loaded, leases expire or
+ * leaders crash.
+ */
 class StateStoreFaultCombinationsTest {
-    /** One controller's link to the state service, whose answers may be held up one by one. */
-    private class Link(
+    /** One controller's client of the state store. Single answers can be held back or lost. */
+    private class ControllerLink(
         val state: SimulatedStateStore = SimulatedStateStore(),
     ) {
         private val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
-        val link = StateStoreClient(context, RecordFormatNegotiator(context))
-        private val arrived = ArrayList<Pair<Long, Outcome>>()
-        val held = ArrayList<Pair<Call, () -> Unit>>()
+        val client = StateStoreClient(context, RecordFormatNegotiator(context))
+        private val arrivedOutcomes = ArrayList<Pair<Long, Outcome>>()
+        val heldAnswers = ArrayList<Pair<Call, () -> Unit>>()
 
         /** Answers to these requests are held until [release]. */
-        var holds: (Call) -> Boolean = { false }
+        var holdsAnswer: (Call) -> Boolean = { false }
 
         /** Answers to these requests are lost. */
-        var loses: (Call) -> Boolean = { false }
+        var losesAnswer: (Call) -> Boolean = { false }
         var connected = true
         private var now: Micros = 0
         val cache get() = context.cache
@@ -68,33 +71,33 @@
             now += STEP
             context.startStep(now, now)
             state.tick(now)
-            arrived.toList().also { arrived.clear() }.forEach { (id, outcome) -> context.callDone(id, outcome) }
-            link.tick()
+            arrivedOutcomes.toList().also { arrivedOutcomes.clear() }.forEach { (id, outcome) -> context.callDone(id, outcome) }
+            client.tick()
             for (effect in context.takeEffects()) {
                 if (effect !is Effect.Start) continue
-                if (connected) ask(effect.id, effect.call) else arrived += effect.id to Outcome.Unanswered
+                if (connected) send(effect.id, effect.call) else arrivedOutcomes += effect.id to Outcome.Unanswered
             }
         }
 
-        private fun ask(
+        private fun send(
             id: Long,
             call: Call,
         ) = state.request(now, call.method, call.path, (call.body ?: ByteArray(0)).decodeToString()) { answer ->
             val outcome =
-                if (loses(call)) Outcome.Unanswered else Outcome.Answered(answer.status, answer.body.encodeToByteArray())
-            val give = { arrived += id to outcome }
-            if (holds(call)) held += call to give else give()
+                if (losesAnswer(call)) Outcome.Unanswered else Outcome.Answered(answer.status, answer.body.encodeToByteArray())
+            val deliver = { arrivedOutcomes += id to outcome }
+            if (holdsAnswer(call)) heldAnswers += call to deliver else deliver()
         }
 
-        /** Gives the answers that were held to requests below [path]. */
+        /** Delivers the held answers to requests whose path starts with [path]. */
         fun release(path: String) {
-            val due = held.filter { it.first.path.startsWith(path) }
-            held -= due.toSet()
+            val due = heldAnswers.filter { it.first.path.startsWith(path) }
+            heldAnswers -= due.toSet()
             due.forEach { it.second() }
         }
 
-        /** From now on every watch is too old. */
-        fun outlastLog() {
+        /** Compacts the log, so that the revision of every watch is too old. */
+        fun compactLog() {
             state.oldestWatch = state.revision + 2
         }
 
@@ -119,141 +122,150 @@
 
     private fun isCatchUp(call: Call) = call.path.startsWith("/follow") && call.path.endsWith("wait_ms=0")
 
-    /** A controller that serves, with so many jobs: more than 500 take two pages. */
-    private fun joined(jobs: Int) =
-        Link().apply {
+    /** A controller that serves [jobs] jobs. More than 500 jobs take two pages to load. */
+    private fun servingController(jobs: Int) =
+        ControllerLink().apply {
             (1..jobs).forEach { state.write(job(it)) }
             run(2 * SECOND)
-            assertTrue(link.isServing)
+            assertTrue(client.isServing)
         }
 
-    /** Has its watch refused as too old, so that it reads the records again. */
-    private fun Link.readAgain() {
-        outlastLog()
-        state.write(job(LAST))
-        repeat(50) { if (link.hasLoaded) run(SECOND / 50) }
-        assertFalse(link.hasLoaded, "the records are read again")
-        // The log reaches back to what is read now.
+    /** Makes the controller load all records again, because its watch is refused as too old. */
+    private fun ControllerLink.forceReload() {
+        compactLog()
+        state.write(job(EXTRA_JOB))
+        repeat(50) { if (client.hasLoaded) run(SECOND / 50) }
+        assertFalse(client.hasLoaded, "the records are being loaded again")
+        // The log reaches back to the revision that is being loaded.
         state.oldestWatch = state.revision
         run(SECOND / 2)
     }
 
-    private fun Link.knowsAll(jobs: Int) = (1..jobs).all { cache.isKnown(JobId("req-%06d".format(it))) }
+    private fun ControllerLink.knowsAll(jobs: Int) = (1..jobs).all { cache.isKnown(JobId("req-%06d".format(it))) }
 
-    /** A question that waited for it was answered from an empty copy of the records: 404 for a job that is known. */
+    /** A poll that waited for the catch-up was answered from the empty cache: 404 for an accepted job. */
     @Test
-    fun `an answer from before the records were read again is not trusted`() {
-        val controller = joined(5)
-        controller.holds = { isCatchUp(it) || it.path.startsWith("/keys") }
-        var known: Boolean? = null
-        controller.link.afterCatchUp { ok -> known = !ok || controller.knowsAll(5) }
+    fun `a catch-up that was sent before the records are loaded again does not count`() {
+        val controller = servingController(5)
+        controller.holdsAnswer = { isCatchUp(it) || it.path.startsWith("/keys") }
+        var isAnswerCorrect: Boolean? = null
+        controller.client.afterCatchUp { ok -> isAnswerCorrect = !ok || controller.knowsAll(5) }
         controller.run(SECOND / 2)
-        assertEquals(1, controller.held.size, "the catch-up waits")
-        controller.readAgain()
+        assertEquals(1, controller.heldAnswers.size, "the answer to the catch-up is held")
+        controller.forceReload()
         controller.release("/follow")
         controller.run(SECOND / 10)
-        assertEquals(true, known)
+        assertEquals(true, isAnswerCorrect)
     }
 
-    /** The copy was emptied while its second page was under way: what the first had brought was forgotten for good. */
+    /** A late refusal reset the cache while the second page was being loaded, and the records of the first page were lost permanently. */
     @Test
-    fun `records that are being read again are not dropped by another late refusal`() {
-        val controller = joined(600)
-        controller.holds = { isCatchUp(it) || isFurtherPage(it) }
-        controller.outlastLog()
-        controller.link.afterCatchUp { }
+    fun `a late refusal of a catch-up does not discard records that are being loaded`() {
+        val controller = servingController(600)
+        controller.holdsAnswer = { isCatchUp(it) || isFurtherPage(it) }
+        controller.compactLog()
+        controller.client.afterCatchUp { }
         controller.run(SECOND / 2)
-        controller.readAgain()
-        assertEquals(2, controller.held.size, "the refusal and the second page wait")
+        controller.forceReload()
+        assertEquals(2, controller.heldAnswers.size, "the refusal and the second page are held")
         controller.release("/follow")
         controller.run(SECOND / 10)
-        controller.holds = { false }
+        controller.holdsAnswer = { false }
         controller.release("/keys")
         controller.run(2 * SECOND)
-        assertTrue(controller.link.isServing && controller.knowsAll(600))
+        assertTrue(controller.client.isServing && controller.knowsAll(600))
     }
 
-    /** A lease that was found to be over made the controller follow, and forget, records that it was still reading. */
+    /**
+     * When a controller learned during a load that its lease had expired, it opened a watch on the incomplete cache. The watch was
+     * refused, and the records already loaded were discarded.
+     */
     @Test
-    fun `a lease that ends while the records are read again does not interrupt that`() {
-        val controller = joined(600)
+    fun `the loss of the lease does not interrupt loading the records`() {
+        val controller = servingController(600)
         controller.connected = false
         controller.run(20 * SECOND)
-        controller.holds = { isFurtherPage(it) || "/touch" in it.path }
-        repeat(2) { controller.state.write(job(LAST + it)) }
+        controller.holdsAnswer = { isFurtherPage(it) || "/touch" in it.path }
+        repeat(2) { controller.state.write(job(EXTRA_JOB + it)) }
         controller.state.oldestWatch = controller.state.revision
-        controller.loses = { it.path.startsWith("/follow") }
+        controller.losesAnswer = { it.path.startsWith("/follow") }
         controller.connected = true
         controller.run(2 * SECOND)
-        controller.loses = { false }
+        controller.losesAnswer = { false }
         controller.run(2 * SECOND)
-        assertEquals(2, controller.held.size, "the end of the lease and the second page wait")
+        assertEquals(2, controller.heldAnswers.size, "the refused renewal and the second page are held")
         controller.release("/leases")
         controller.run(SECOND)
-        controller.holds = { false }
+        controller.holdsAnswer = { false }
         controller.release("/keys")
         controller.run(2 * SECOND)
-        assertTrue(controller.link.isServing && controller.knowsAll(600))
+        assertTrue(controller.client.isServing && controller.knowsAll(600))
     }
 
-    /** Its registration made a controller serve from the empty copy that it had just begun to fill. */
+    /** A registration that was answered during a load made the controller serve from a cache that was still almost empty. */
     @Test
-    fun `a registration that is answered late does not end the reading of the records`() {
-        val controller = Link()
+    fun `a registration that is answered late does not make a controller serve before the load ends`() {
+        val controller = ControllerLink()
         (1..5).forEach { controller.state.write(job(it)) }
-        controller.holds = { it.path == "/multi" }
+        controller.holdsAnswer = { it.path == "/multi" }
         controller.run(SECOND)
-        controller.holds = { it.path.startsWith("/keys") }
-        controller.readAgain()
+        controller.holdsAnswer = { it.path.startsWith("/keys") }
+        controller.forceReload()
         controller.release("/multi")
         controller.run(SECOND / 10)
-        assertFalse(controller.link.isServing && !controller.knowsAll(5))
-        controller.holds = { false }
+        assertFalse(controller.client.isServing && !controller.knowsAll(5))
+        controller.holdsAnswer = { false }
         controller.release("/keys")
         controller.run(2 * SECOND)
-        assertTrue(controller.link.isServing && controller.knowsAll(5))
+        assertTrue(controller.client.isServing && controller.knowsAll(5))
     }
 
-    /** A claim that had ended stood in the new copy again, because a commit from before it was answered late. */
+    /** A deleted claim appeared in the new cache again, because the commit that wrote it was answered after the load. */
     @Test
-    fun `a commit from before the records were read again brings back nothing`() {
-        val controller = joined(5)
-        controller.holds = { it.path == "/multi" }
+    fun `a commit that is answered after the records were loaded again restores no deleted claim`() {
+        val controller = servingController(5)
+        controller.holdsAnswer = { it.path == "/multi" }
         val claim = WireJson.encodeToJsonElement(ClaimRecord.serializer(), ClaimRecord("node-0", 1))
-        controller.link.transact(emptyList(), listOf(Write(Keys.shard(3), claim))) { }
+        controller.client.transact(emptyList(), listOf(Write(Keys.shard(3), claim))) { }
         controller.run(SECOND / 10)
-        assertEquals(1, controller.held.size, "the commit waits")
+        assertEquals(1, controller.heldAnswers.size, "the answer to the commit is held")
         controller.state.write(Change(delete = Keys.shard(3)))
-        controller.readAgain()
+        controller.forceReload()
         controller.run(SECOND)
-        assertTrue(controller.link.isServing)
+        assertTrue(controller.client.isServing)
         controller.release("/multi")
         controller.run(SECOND)
         assertEquals(null, controller.cache.claims[3])
     }
 
-    /** A team's reservation was newer than its placements, which the watch had yet to bring: its guard held nothing up. */
+    /**
+     * A team's reservation was loaded with a later page and was newer than the team's placements in the cache, which the watch had
+     * yet to update. The guard on the reservation therefore held although placements were missing.
+     */
     @Test
-    fun `nobody serves before what changed between two pages is known`() {
-        val controller = Link()
+    fun `a controller does not serve before it knows the changes made between two pages`() {
+        val controller = ControllerLink()
         (1..600).forEach { controller.state.write(job(it)) }
-        controller.holds = { "&since=" !in it.path && it.path.startsWith("/keys") || it.path.startsWith("/follow") }
+        controller.holdsAnswer = { "&since=" !in it.path && it.path.startsWith("/keys") || it.path.startsWith("/follow") }
         controller.run(SECOND)
         controller.state.write(Change(put = Keys.job("req-000001"), value = RecordCodec.finalJson(StoredStage.DONE, 1)))
         controller.release("/keys")
         controller.run(2 * SECOND)
-        val isNew = { controller.cache.finalJob(JobId("req-000001")) != null }
-        assertTrue(isNew() || !controller.link.isServing)
-        controller.holds = { false }
+        val isCompletionKnown = { controller.cache.finalJob(JobId("req-000001")) != null }
+        assertTrue(isCompletionKnown() || !controller.client.isServing)
+        controller.holdsAnswer = { false }
         controller.release("/follow")
         controller.run(6 * SECOND)
-        assertTrue(controller.link.isServing && isNew())
+        assertTrue(controller.client.isServing && isCompletionKnown())
     }
 
-    /** PROTOCOL promises no order. A chunk that was told before its job was dropped, and its tasks were placed in vain for ever. */
+    /**
+     * The state store's protocol promises no order of events. A chunk that arrived before its job was dropped, and the placement
+     * of its tasks failed forever.
+     */
     @Test
-    fun `changes are understood in whichever order a watch tells them`() {
-        val controller = joined(1)
+    fun `the events of a watch are applied correctly in any order`() {
+        val controller = servingController(1)
         val chunk = Chunk.empty(Job.TASKS_PER_CHUNK).place(0, MachineId("host-000001"))
         controller.connected = false
         controller.run(14 * SECOND)
@@ -265,18 +277,19 @@
         assertEquals(1, controller.cache.job(JobId("req-000002"))?.placedCount)
     }
 
-    /** A record that takes many pages was read from its beginning whenever one answer was lost. */
+    /** A load of several pages restarted with the first page whenever one answer was lost. */
     @Test
-    fun `a page that is lost is asked for again, not all before it`() {
-        val controller = Link()
+    fun `after a lost answer only that page is requested again, not the pages before it`() {
+        val controller = ControllerLink()
         (1..600).forEach { controller.state.write(job(it)) }
         var firstPages = 0
-        controller.holds = { call -> ("&since=" !in call.path && call.path.startsWith("/keys")).also { if (it) firstPages++ } && false }
-        controller.loses = ::isFurtherPage
+        controller.holdsAnswer =
+            { call -> ("&since=" !in call.path && call.path.startsWith("/keys")).also { if (it) firstPages++ } && false }
+        controller.losesAnswer = ::isFurtherPage
         controller.run(5 * SECOND)
-        controller.loses = { false }
+        controller.losesAnswer = { false }
         controller.run(5 * SECOND)
-        assertTrue(controller.link.isServing && controller.knowsAll(600))
+        assertTrue(controller.client.isServing && controller.knowsAll(600))
         assertEquals(1, firstPages)
     }
 
@@ -293,67 +306,59 @@
             change.put?.startsWith(Keys.job("")) == true && change.value?.let { RecordCodec.decodeJob(it).stage } == stage
         }
 
-    /** Placements are guarded by the claims on their machines. */
+    /** Whether the transaction places tasks: it puts a job or chunk under guards on the claims of the machines. */
     private fun Transaction.places(): Boolean =
         puts(Keys.job(""), Keys.chunk("", 1).dropLast(2)) &&
-            guards.any { it.key.startsWith(SHARD) || it.key.startsWith(BORROW) }
+            guards.any { it.key.startsWith(SHARD_PREFIX) || it.key.startsWith(BORROW_PREFIX) }
 
-    private val kinds =
+    private val transactionKinds =
         mapOf<String, (Transaction) -> Boolean>(
             "submission" to { it.guards.any { guard -> guard.version == 0L && guard.key.startsWith(Keys.job("")) } },
             "cancellation" to { it.putsJob(StoredStage.CANCELLED) },
             "placement" to { it.places() },
             "completion" to { it.putsJob(StoredStage.DONE) },
-            "claim" to { it.puts(SHARD, BORROW, Keys.LEADER) },
+            "claim" to { it.puts(SHARD_PREFIX, BORROW_PREFIX, Keys.LEADER) },
             "team reservation" to { it.puts(Keys.team("")) },
-            "fleet record" to { it.puts(FLEET) },
+            "fleet record" to { it.puts(MACHINE_LIST_PREFIX) },
         )
 
     /**
-     * Meetings 15 and 23: one kind of write gets no answer for 15 s, in which the leader ends. What is carried out at once
-     * is read by others before its writer knows; what is carried out late meets the newer writes of the same controllers.
+     * Scenarios 15 and 23: for 15 s one kind of transaction gets no answer, and the leader crashes meanwhile. Transactions that are
+     * committed at once are visible to other controllers before their sender knows the outcome. Transactions that are committed
+     * late conflict with newer ones of the same controllers.
      */
     @TestFactory
-    fun `writes of one kind are carried out without an answer`() =
-        kinds.flatMap { (kind, picks) -> listOf(true, false).map { atOnce -> Triple(kind, picks, atOnce) } }.map { (kind, picks, atOnce) ->
-            DynamicTest.dynamicTest("$kind ${if (atOnce) "at once" else "late"}") {
-                val cluster = SimulatedCluster(115, FaultRates(), ClusterSize(machines = 20)) { SampleJobs.settings(it) }
-                val users = UserFaults(cluster)
-                (1..JOBS).forEach { n ->
-                    val spec =
-                        SampleJobs.spec(
-                            "req-%06d".format(n),
-                            if (n % 2 ==
-                                0
-                            ) {
-                                "red"
-                            } else {
-                                "blue"
-                            },
-                            1 + n % 4,
-                            cpus = 1.0,
-                            estimateS = 3.0,
-                        )
-                    cluster.after(5 * SECOND + n * SECOND / 2) { users.begin(spec, if (n % 4 < 2) n % 5 * SECOND else null) }
+    fun `jobs finish and all rules hold while one kind of transaction is committed without an answer`() =
+        transactionKinds
+            .flatMap { (kind, matches) ->
+                listOf(true, false).map { Triple(kind, matches, it) }
+            }.map { (kind, matches, atOnce) ->
+                DynamicTest.dynamicTest("$kind ${if (atOnce) "at once" else "late"}") {
+                    val cluster = SimulatedCluster(115, FaultRates(), ClusterSize(machines = 20)) { SampleJobs.settings(it) }
+                    val users = UserFaults(cluster)
+                    (1..JOB_COUNT).forEach { n ->
+                        val team = if (n % 2 == 0) "red" else "blue"
+                        val spec = SampleJobs.spec("req-%06d".format(n), team, 1 + n % 4, cpus = 1.0, estimateS = 3.0)
+                        cluster.after(5 * SECOND + n * SECOND / 2) { users.begin(spec, if (n % 4 < 2) n % 5 * SECOND else null) }
+                    }
+                    cluster.stateStoreFaults.atOnce = atOnce
+                    cluster.stateStoreFaults.picks = { _, transaction -> matches(transaction) }
+                    cluster.after(12 * SECOND) { cluster.stateStoreFaults.lost = 1000 }
+                    cluster.after(18 * SECOND) { cluster.nodes.first { it.settings.node == cluster.leadership()?.node }.crash(6 * SECOND) }
+                    cluster.after(27 * SECOND) { cluster.stateStoreFaults.lost = 0 }
+                    cluster.run(150 * SECOND)
+                    val lost = cluster.stateStoreFaults.lostTransactions
+                    assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "none committed of ${lost.size} unanswered transactions")
+                    cluster.assertRulesHeld()
+                    assertEquals(emptyList<Int>(), (1..JOB_COUNT).filter { !cluster.rules.isFinal("req-%06d".format(it)) })
                 }
-                cluster.stateStoreFaults.atOnce = atOnce
-                cluster.stateStoreFaults.picks = { _, transaction -> picks(transaction) }
-                cluster.after(12 * SECOND) { cluster.stateStoreFaults.lost = 1000 }
-                cluster.after(18 * SECOND) { cluster.nodes.first { it.settings.node == cluster.leadership()?.node }.crash(6 * SECOND) }
-                cluster.after(27 * SECOND) { cluster.stateStoreFaults.lost = 0 }
-                cluster.run(150 * SECOND)
-                val lost = cluster.stateStoreFaults.lostTransactions
-                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "${lost.size} lost, none carried out")
-                cluster.assertRulesHeld()
-                assertEquals(emptyList<Int>(), (1..JOBS).filter { !cluster.rules.isFinal("req-%06d".format(it)) })
             }
-        }
 
     private companion object {
-        const val LAST = 999
-        const val JOBS = 60
-        val SHARD = Keys.shard(0).dropLast(1)
-        val BORROW = Keys.borrow("")
-        val FLEET = Keys.machineList(0).dropLast(1)
+        const val EXTRA_JOB = 999
+        const val JOB_COUNT = 60
+        val SHARD_PREFIX = Keys.shard(0).dropLast(1)
+        val BORROW_PREFIX = Keys.borrow("")
+        val MACHINE_LIST_PREFIX = Keys.machineList(0).dropLast(1)
     }
 }
--- a/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
@@ -14,63 +14,64 @@
 import org.junit.jupiter.api.DynamicTest
 import org.junit.jupiter.api.TestFactory
 
-/** A requeue without an answer meets a machine that comes back before the requeue is carried out. */
+/** The outcome of a requeue is unknown, and the machine resumes before the requeue is carried out. */
 class UncertainRequeueTest {
     /**
-     * One controller is alone in its zone and hears no other, so that it gives up no silent machine before its lease has
-     * lapsed. Machines there hang until the requeue of what they ran has been sent. They hang once more before it is
-     * carried out, so that no stop reaches them: what they hold then would run beside its successors.
+     * One controller is the only one in its zone and receives no hints, so it does not requeue the tasks of an unresponsive
+     * machine before the machine's lease has expired. Two machines in the zone hang until the requeue of their tasks has been sent.
+     * They hang again before it is carried out, so no stop command reaches them: tasks that they hold at that time would run at
+     * the same time as their replacements.
      */
-    private class Doubt(
+    private class Scenario(
         seed: Long,
     ) {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 10)) { SampleJobs.settings(it) }
-        private val alone = cluster.nodes.single { it.settings.zone == ZONE }
-        private val lostFor = HashMap<Transaction, List<SimulatedAgent>>()
-        private var hung = emptyList<SimulatedAgent>()
+        private val isolated = cluster.nodes.single { it.settings.zone == ZONE }
+        private val machinesOfLost = HashMap<Transaction, List<SimulatedAgent>>()
+        private var hungMachines = emptyList<SimulatedAgent>()
 
-        /** For each requeue that was carried out late: machines it took tasks from, and what they held then. */
-        val carriedOut = ArrayList<Pair<String, Set<String>>>()
+        /** For each machine whose tasks were requeued late: its id, and the tasks that it held when the requeue was carried out. */
+        val committedRequeues = ArrayList<Pair<String, Set<String>>>()
 
-        fun play() {
+        fun run() {
             (1..12).forEach { n ->
                 val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 300.0)
                 cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
             }
-            // What ends meanwhile leaves room for the successors.
+            // These jobs end in the meantime and free capacity for the replacements.
             (13..18).forEach { n ->
                 val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 50.0)
                 cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
             }
             cluster.run(60 * SECOND)
             cluster.cloud.out = true
-            alone.cutFromPeers = true
-            hung =
+            isolated.cutFromPeers = true
+            hungMachines =
                 cluster.workers.values
                     .filter { it.zone == ZONE && it.held().isNotEmpty() }
                     .take(2)
-            hung.forEach { it.hangingUntilUs = Long.MAX_VALUE }
+            hungMachines.forEach { it.hangingUntilUs = Long.MAX_VALUE }
             cluster.stateStoreFaults.lost = 1000
-            cluster.stateStoreFaults.lateUs = LATE..LATE + SECOND
-            cluster.stateStoreFaults.picks = { node, transaction -> node === alone && isRequeue(transaction) }
+            cluster.stateStoreFaults.lateUs = COMMIT_DELAY..COMMIT_DELAY + SECOND
+            cluster.stateStoreFaults.picks = { node, transaction -> node === isolated && isRequeue(transaction) }
             cluster.stateStoreFaults.onCarriedOut = { late ->
-                lostFor.getValue(late.transaction).forEach { carriedOut += it.id to it.held() }
+                machinesOfLost.getValue(late.transaction).forEach { committedRequeues += it.id to it.held() }
             }
             cluster.run(102 * SECOND)
         }
 
-        /** Whether [transaction] takes tasks from machines that hung; they come back once the first such was sent. */
+        /** Whether [transaction] requeues tasks of [hungMachines]. These machines resume when the first such transaction is sent. */
         private fun isRequeue(transaction: Transaction): Boolean {
             val before = cluster.state.keys().toMap()
             val machines =
-                hung.filter { machine ->
+                hungMachines.filter { machine ->
                     transaction.changes.any {
                         machine.id in machinesIn(it.put, before[it.put]) &&
                             machine.id !in machinesIn(it.put, "${it.value}")
                     }
                 }
-            lostFor[transaction] = machines
-            if (machines.isNotEmpty()) hung.filter { it.hangingUntilUs == Long.MAX_VALUE }.forEach(::comeBack)
+            machinesOfLost[transaction] = machines
+            if (machines.isNotEmpty()) hungMachines.filter { it.hangingUntilUs == Long.MAX_VALUE }.forEach(::resumeBriefly)
             return machines.isNotEmpty()
         }
 
@@ -79,24 +80,27 @@
             text: String?,
         ): Set<String> = if (key == null || text == null) emptySet() else cluster.machinesIn(key, text)
 
-        private fun comeBack(machine: SimulatedAgent) {
-            val sent = cluster.now
-            machine.hangingUntilUs = sent + 200 * MILLI + cluster.random.nextLong(SECOND)
-            cluster.after(AGAIN) { machine.hangingUntilUs = sent + BACK }
+        private fun resumeBriefly(machine: SimulatedAgent) {
+            val sentUs = cluster.now
+            machine.hangingUntilUs = sentUs + 200 * MILLI + cluster.random.nextLong(SECOND)
+            cluster.after(SECOND_HANG_DELAY) { machine.hangingUntilUs = sentUs + RETURN_DELAY }
         }
     }
 
-    /** `CommandPlanner.onRequeueSent`: the old attempts were started again there, and then the requeue was carried out. */
+    /**
+     * Guards `CommandPlanner.onRequeueSent`. Without it, the old attempts were started again on the machine, and then the requeue
+     * was carried out.
+     */
     @TestFactory
-    fun `a requeue that is carried out late doubles no task of a machine that has come back`() =
+    fun `a requeue that is carried out late duplicates no task of a machine that has resumed`() =
         listOf(2L, 11L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val doubt = Doubt(seed).apply { play() }
-                assertTrue(doubt.carriedOut.isNotEmpty(), "no requeue was carried out late")
+                val scenario = Scenario(seed).apply { run() }
+                assertTrue(scenario.committedRequeues.isNotEmpty(), "no requeue was carried out late")
                 assertEquals(
                     emptyList<String>() to emptyList<String>(),
-                    doubt.carriedOut.filter { it.second.isNotEmpty() }.map { "$it" } to
-                        doubt.cluster.rules.breaches
+                    scenario.committedRequeues.filter { it.second.isNotEmpty() }.map { "$it" } to
+                        scenario.cluster.rules.breaches
                             .distinct()
                             .take(5),
                 )
@@ -106,9 +110,9 @@
     private companion object {
         const val ZONE = "south"
 
-        /** Counted from when the first requeue was sent: they hang again, it is carried out, they are back for good. */
-        const val AGAIN = 6 * SECOND
-        const val LATE = 12 * SECOND
-        const val BACK = 18 * SECOND
+        /** Delays after the first requeue is sent: the machines hang again, the requeue is carried out, the machines resume. */
+        const val SECOND_HANG_DELAY = 6 * SECOND
+        const val COMMIT_DELAY = 12 * SECOND
+        const val RETURN_DELAY = 18 * SECOND
     }
 }
--- a/src/test/kotlin/mintpick/simulation/UnguaranteedTeamsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UnguaranteedTeamsTest.kt
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What a team without a guarantee brings: thousands of jobs of one task, and arrays of tens of thousands. */
+/** Workloads typical of a team without a guarantee: thousands of jobs of one task, and arrays of tens of thousands of tasks. */
 class UnguaranteedTeamsTest {
     private fun cluster(seed: Long): SimulatedCluster =
         SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 60)) { index ->
@@ -25,38 +25,41 @@
         estimateS: Double = 8.0,
     ) = SampleJobs.spec("req-%06d".format(n), "blue", tasks, priority = Priority.LOW, cpus = 0.25, estimateS = estimateS)
 
-    /** Six jobs a second for a minute take about three writes each, of 25 a second; services and a team's own arrays go on. */
+    /**
+     * Six jobs per second for a minute need about three writes each, of 25 per second. Services and the arrays of another team must
+     * not be delayed.
+     */
     @Test
-    fun `a flood of one-task jobs costs few writes and holds up nobody`() {
+    fun `hundreds of one-task jobs need few writes and delay no services or arrays`() {
         val cluster = cluster(95)
-        val swarm = 360
+        val jobCount = 360
         cluster.user(SampleJobs.service(9000, tasks = 2), null)
         cluster.run(20 * SECOND)
-        val before = cluster.state.writes
-        (1..swarm).forEach { n -> cluster.after(n * SECOND / 6) { cluster.user(unguaranteedJob(n), null) } }
+        val writesBefore = cluster.state.writes
+        (1..jobCount).forEach { n -> cluster.after(n * SECOND / 6) { cluster.user(unguaranteedJob(n), null) } }
         (1..10).forEach { n ->
             cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.service(8000 + n, tasks = 1), null) }
             cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "red", 6, estimateS = 6.0), null) }
         }
         cluster.run(85 * SECOND)
-        val writes = cluster.state.writes - before
-        assertTrue(writes < 1450, "$writes writes for $swarm jobs of one task and twenty others")
-        val late =
+        val writes = cluster.state.writes - writesBefore
+        assertTrue(writes < 1450, "$writes writes for $jobCount jobs of one task and twenty others")
+        val lateServices =
             (1..10).filter { n ->
-                val began = cluster.rules.startOf("req-%06d".format(8000 + n))
-                began == null || began > (26L + n * 5) * SECOND
+                val startedUs = cluster.rules.startOf("req-%06d".format(8000 + n))
+                startedUs == null || startedUs > (26L + n * 5) * SECOND
             }
-        assertTrue(late.size <= 1, "services that began late: $late")
+        assertTrue(lateServices.size <= 1, "services that started late: $lateServices")
         cluster.run(110 * SECOND)
-        val left = (1..swarm).filter { !cluster.rules.isFinal("req-%06d".format(it)) }
-        assertEquals(emptyList<Int>(), left.take(5), "${left.size} jobs of the swarm are not done")
-        assertEquals(emptyList<Int>(), (7001..7010).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "arrays are not done")
+        val unfinished = (1..jobCount).filter { !cluster.rules.isFinal("req-%06d".format(it)) }
+        assertEquals(emptyList<Int>(), unfinished.take(5), "${unfinished.size} jobs of one task are not finished")
+        assertEquals(emptyList<Int>(), (7001..7010).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "arrays not finished")
         cluster.assertRulesHeld()
     }
 
-    /** An array of twenty thousand short tasks begins at once, gives way to funded work, and ends. */
+    /** An array of twenty thousand short tasks must start at once, be preempted for funded work, and complete in the end. */
     @Test
-    fun `a huge array without a guarantee begins, yields and ends`() {
+    fun `an array of twenty thousand unallocated tasks starts at once, yields to funded work and completes`() {
         val cluster = cluster(96)
         cluster.user(unguaranteedJob(1, tasks = 20_000, estimateS = 3.0), null)
         (1..20).forEach { n ->
@@ -65,38 +68,38 @@
             ) { cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "red", 4, estimateS = 6.0), null) }
         }
         cluster.run(170 * SECOND)
-        val began = cluster.rules.startOf("req-000001")
-        assertTrue(began != null && began < 30 * SECOND, "began after $began")
-        assertEquals(emptyList<Int>(), (7001..7020).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "funded arrays wait")
+        val startedUs = cluster.rules.startOf("req-000001")
+        assertTrue(startedUs != null && startedUs < 30 * SECOND, "started at $startedUs us")
+        assertEquals(emptyList<Int>(), (7001..7020).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "funded arrays not finished")
         cluster.run(400 * SECOND)
-        assertTrue(cluster.rules.isFinal("req-000001"), "the array has not ended")
+        assertTrue(cluster.rules.isFinal("req-000001"), "the large array is not finished")
         cluster.assertRulesHeld()
     }
 
-    /** `Scheduling.keepsToSpot`: spare-time work filled the ordinary machines of a peak, so that none of them was ever returned. */
+    /** Guards `JobPlacer.isSpotOnly`. Without it, unallocated tasks filled the on-demand machines of a peak, and none was ever released. */
     @Test
-    fun `spare-time work keeps no ordinary machines`() {
+    fun `unallocated tasks of the lowest priority keep no on-demand machines`() {
         val cluster = SimulatedCluster(98, FaultRates(), ClusterSize(machines = 60, spot = 6)) { SampleJobs.settings(it) }
         (1..4).forEach { n -> cluster.user(unguaranteedJob(n, tasks = 800, estimateS = 40.0), null) }
         (1..10).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "blue", 20, cpus = 2.0, estimateS = 15.0), null) }
         cluster.run(25 * SECOND)
-        assertTrue(cluster.workers.values.count { !it.spot } > 5, "ordinary machines for the peak")
+        assertTrue(cluster.workers.values.count { !it.spot } > 5, "on-demand machines for the peak")
         cluster.run(100 * SECOND)
-        assertEquals(0, cluster.workers.values.count { !it.spot }, "ordinary machines left")
+        assertEquals(0, cluster.workers.values.count { !it.spot }, "on-demand machines left")
         assertTrue(
             cluster.rules.running.keys
                 .any { it < "req-007000" },
-            "spare-time work goes on",
+            "no unallocated task is running",
         )
         cluster.assertRulesHeld()
     }
 
     @Test
-    fun `where there are no spot machines spare-time work is served all the same`() {
+    fun `unallocated tasks run on on-demand machines where there are no spot machines`() {
         val cluster = SimulatedCluster(99, FaultRates(), ClusterSize(machines = 20, spot = 0)) { SampleJobs.settings(it) }
         (1..3).forEach { n -> cluster.user(unguaranteedJob(n, tasks = 30, estimateS = 40.0), null) }
         cluster.run(240 * SECOND)
-        assertEquals(emptyList<Int>(), (1..3).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "spare-time work waits")
+        assertEquals(emptyList<Int>(), (1..3).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "unallocated jobs not finished")
         cluster.assertRulesHeld()
     }
 }
