--- a/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.TestFactory
 import java.util.SplittableRandom
 
-/** What users ask, in the moments in which something else happens to their jobs, and what they are told. */
+/** User requests that coincide with other changes or faults of the same jobs, and the answers that users receive. */
 class UserRequestFaultCombinationsTest {
     private fun cluster(
         seed: Long,
@@ -44,7 +44,7 @@
 
     private fun id(n: Int) = "req-%06d".format(n)
 
-    private fun SimulatedCluster.clean() = assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
+    private fun SimulatedCluster.assertNoBreach() = assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
 
     private fun batch(
         n: Int,
@@ -52,9 +52,9 @@
         estimateS: Double = 4.0,
     ): JobSpec = SampleJobs.spec(id(n), team = "blue", tasks = tasks, cpus = 1.0, estimateS = estimateS)
 
-    /** Scenario 5: each write's guard, and room for submissions, when a quarter of a stream of jobs is cancelled. */
+    /** Scenario 5: the guards of transactions, and write capacity for submissions, while a quarter of a stream of jobs is cancelled. */
     @Test
-    fun `one-task jobs come four a second and a quarter is cancelled`() {
+    fun `all jobs become final when four one-task jobs a second arrive and a quarter is cancelled`() {
         val cluster = cluster(105, ClusterSize(machines = 30))
         val users = UserFaults(cluster)
         (1..480).forEach { n ->
@@ -64,13 +64,13 @@
         cluster.after(100 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
         cluster.after(SECOND) { users.watchWaiting() }
         cluster.run(220 * SECOND)
-        cluster.clean()
+        cluster.assertNoBreach()
         assertEquals(480, (1..480).count { cluster.rules.isFinal(id(it)) })
     }
 
-    /** Scenario 8: an answer from a copy of the records that another node's answer has overtaken. */
+    /** Scenario 8: a controller answers from a cache that is older than the answer another controller has already given. */
     @Test
-    fun `close looks at all nodes never see an older answer`() {
+    fun `frequent polls of all controllers never receive an older stage after a newer one`() {
         val cluster = cluster(108, ClusterSize(machines = 20))
         val users = UserFaults(cluster)
         (1..60).forEach { n ->
@@ -78,27 +78,27 @@
             cluster.after(10 * SECOND + n * SECOND / 2) { users.begin(batch(n, tasks = 1 + n % 3, estimateS = 2.0), cancelUs) }
         }
         cluster.run(100 * SECOND)
-        cluster.clean()
+        cluster.assertNoBreach()
         assertEquals(60, (1..60).count { cluster.rules.isFinal(id(it)) })
         assertTrue(users.answers.getValue("look 200") > 2000 && users.answers.getValue("repeat 200") > 1000, "${users.answers}")
     }
 
-    /** Scenario 14: a cancellation that is written beside the record of the job's end. */
+    /** Scenario 14: a cancellation is written at the same time as the completion of the job. */
     @Test
-    fun `cancellations, questions and repeated submissions meet the end of a job's last task`() {
+    fun `all jobs become final when cancellations, polls and repeated submissions coincide with completion of the last task`() {
         val cluster = cluster(114, ClusterSize(machines = 20))
         val users = UserFaults(cluster)
         users.cancelAtEnd(50)
         (1..80).forEach { n -> cluster.after(10 * SECOND + n * SECOND / 3) { cluster.user(batch(n, 1 + n % 4, 2.0), null) } }
         cluster.run(100 * SECOND)
-        cluster.clean()
-        assertTrue(users.cancelledAtEnd.size > 20, "${users.cancelledAtEnd.size} cancelled at their end")
+        cluster.assertNoBreach()
+        assertTrue(users.cancelledAtEnd.size > 20, "cancelled at completion: ${users.cancelledAtEnd.size}")
         assertEquals(80, (1..80).count { cluster.rules.isFinal(id(it)) })
     }
 
-    /** Many running jobs cancelled at once while their machines hang: what goes on there must be stopped in time. */
+    /** Many running jobs are cancelled at once while their machines hang. Their tasks must be stopped within the cancellation bound. */
     @TestFactory
-    fun `running jobs are cancelled at once while their machines hang`() =
+    fun `tasks stop in time when many running jobs are cancelled while their machines hang`() =
         listOf(3L, 12L, 17L, 30L).map { hangS ->
             DynamicTest.dynamicTest("for $hangS s") {
                 val cluster = cluster(120 + hangS)
@@ -107,16 +107,17 @@
                 cluster.run(60 * SECOND)
                 users.cancelNow(25, hangS * SECOND)
                 cluster.run(120 * SECOND)
-                cluster.clean()
-                assertTrue(users.cancelledRunning.size > 15 && users.hung.size > 3, "${users.cancelledRunning.size} on ${users.hung.size}")
+                cluster.assertNoBreach()
+                assertTrue(users.cancelledRunning.size > 15, "running jobs cancelled: ${users.cancelledRunning.size}")
+                assertTrue(users.hung.size > 3, "hanging machines: ${users.hung.size}")
                 assertTrue(users.cancelledRunning.all { job -> cluster.rules.isFinal(job) })
                 assertEquals(emptyList<Long>(), cluster.rules.startsAfterCancel.filter { it > 2 * SECOND })
             }
         }
 
-    /** Scenario 24: a cancellation that one controller has taken while the machines or the work pass to another. */
+    /** Scenario 24: one controller has received a cancellation while control of the machines or jobs passes to another. */
     @TestFactory
-    fun `jobs are cancelled while work changes hands`() =
+    fun `cancelled jobs become final and start no task later while shards change owners`() =
         mapOf<String, (SimulatedCluster) -> Unit>(
             "restart" to { it.nodes[0].crash(SECOND / 5) },
             "long absence" to { it.nodes[0].crash(12 * SECOND) },
@@ -138,33 +139,33 @@
                 val users = UserFaults(cluster)
                 (1..60).forEach { n -> cluster.user(batch(n, tasks = 2, estimateS = 500.0), null) }
                 cluster.run(50 * SECOND)
-                val before = cluster.claims()
+                val claimWritesBefore = cluster.claimWrites()
                 fault(cluster)
                 (1..48).forEach { n -> cluster.after(n * SECOND / 4) { users.cancel(id(n), n % SimulatedCluster.NODES) } }
                 cluster.run(140 * SECOND)
-                cluster.clean()
-                assertTrue(cluster.claims() > before, "nothing changed hands")
+                cluster.assertNoBreach()
+                assertTrue(cluster.claimWrites() > claimWritesBefore, "no shard or machine changed controllers")
                 assertTrue((1..48).all { cluster.rules.isFinal(id(it)) })
                 assertEquals(emptyList<Long>(), cluster.rules.startsAfterCancel.filter { it > 2 * SECOND })
             }
         }
 
-    /** How often parts or machines have been claimed or borrowed. */
-    private fun SimulatedCluster.claims(): Int = listOf("s", "b").sumOf { state.writesByKind[it] ?: 0 }
+    /** Number of writes of shard claims and borrow claims. */
+    private fun SimulatedCluster.claimWrites(): Int = listOf("s", "b").sumOf { state.writesByKind[it] ?: 0 }
 
-    /** An accepted job's repeated submission got 400 for its missing field, and lost the job for its user. */
+    /** A repeated submission of an accepted job with a missing field got 400, so the user took the job for rejected. */
     @Test
-    fun `odd requests get the protocol's answer in each phase of a controller`() {
+    fun `malformed, impossible and repeated requests get the specified answers in each phase of a controller`() {
         val cluster = cluster(125)
         val users = UserFaults(cluster)
-        val job = batch(1, estimateS = 500.0)
-        val over = batch(2, estimateS = 1.0)
-        // Nothing is known yet: nobody may be told anything final.
-        var next = users.oddRequests(batch(0), 1000)
+        val openJob = batch(1, estimateS = 500.0)
+        val finishedJob = batch(2, estimateS = 1.0)
+        // No records are loaded yet, so no final answer may be given.
+        var nextId = users.oddRequests(batch(0), 1000)
         cluster.run(SECOND / 2)
-        listOf(job, over).forEach { cluster.user(it, null) }
+        listOf(openJob, finishedJob).forEach { cluster.user(it, null) }
         cluster.run(30 * SECOND)
-        assertTrue(cluster.rules.isFinal(over.id))
+        assertTrue(cluster.rules.isFinal(finishedJob.id))
         val phases =
             listOf<(Boolean) -> Unit>(
                 { },
@@ -176,27 +177,27 @@
         for (phase in phases) {
             phase(true)
             for (n in 1..8) {
-                next = users.oddRequests(batch(0), next)
-                listOf(job, over).forEach { users.repeatOddly(it) }
-                repeat(SimulatedCluster.NODES) { users.cancel(over.id, it) }
+                nextId = users.oddRequests(batch(0), nextId)
+                listOf(openJob, finishedJob).forEach { users.repeatOddly(it) }
+                repeat(SimulatedCluster.NODES) { users.cancel(finishedJob.id, it) }
                 users.poll(id(999), n % SimulatedCluster.NODES, "unknown")
                 cluster.run(cluster.now + SECOND / 2)
             }
             phase(false)
             cluster.run(cluster.now + 15 * SECOND)
         }
-        cluster.clean()
+        cluster.assertNoBreach()
         assertEquals(setOf("400", "503"), users.statuses("malformed"))
         assertEquals(setOf("422", "503"), users.statuses("impossible"))
         assertEquals(setOf("200", "503"), users.statuses("odd repeat"))
         assertEquals(setOf("404", "503"), users.statuses("unknown"))
-        assertEquals(JobStage.DONE, cluster.rules.stageOf(over.id))
+        assertEquals(JobStage.DONE, cluster.rules.stageOf(finishedJob.id))
     }
 
     private fun UserFaults.statuses(kind: String): Set<String> =
         answers.keys.filter { it.startsWith("$kind ") }.mapTo(HashSet()) { it.substringAfterLast(' ') }
 
-    private val finished = (1..1200).map { id(it) }
+    private val finishedJobIds = (1..1200).map { id(it) }
 
     private fun SimulatedCluster.store(
         keys: List<String>,
@@ -204,42 +205,44 @@
     ) = keys.chunked(100).forEach { part -> state.transact(Transaction(emptyList(), part.map { Change(put = it, value = value) })) }
 
     /**
-     * Cuts a controller from the state service until its watch is too old, and asks it afterwards about three pages of
-     * jobs that were done before; [slowMs] says how slow the state service answers its calls then.
+     * Disconnects a controller from the state store for [cutMs] ms until its watch is too old. Afterwards polls it for three pages
+     * of jobs that were done before: none may get 404. [slowMs] is the delay in ms of each answer from the state store after the
+     * reconnection.
      */
-    private fun readAnew(
+    private fun assertReloadForgetsNoJob(
         cutMs: Long,
         slowMs: (Call) -> Long,
     ) {
         val cluster = cluster(101)
-        val over = RecordCodec.finalJson(StoredStage.DONE, 1)
-        cluster.store(finished.map(Keys::job), over)
+        val finalRecord = RecordCodec.finalJson(StoredStage.DONE, 1)
+        cluster.store(finishedJobIds.map(Keys::job), finalRecord)
         cluster.state.keptChanges = 100
         cluster.run(10 * SECOND)
         val node = cluster.nodes[0]
         node.cutFromState = true
         cluster.run(10 * SECOND + cutMs * MILLI)
-        cluster.store((2000..2200).map { Keys.job(id(it)) }, over)
+        cluster.store((2000..2200).map { Keys.job(id(it)) }, finalRecord)
         cluster.slowAnswer = { from, call -> if (from === node) slowMs(call) * MILLI else 0 }
         node.cutFromState = false
         val answers = ArrayList<Answer>()
-        val ask: (String) -> Unit = { job -> node.deliver(Event.Poll(JobId(job), ReplyTo { answers += it })) }
+        val poll: (String) -> Unit = { job -> node.deliver(Event.Poll(JobId(job), ReplyTo { answers += it })) }
         cluster.run(cluster.now + 8 * SECOND)
-        assertTrue(cluster.state.tooOld > 0, "no watch was too old")
-        finished.forEach(ask)
+        assertTrue(cluster.state.tooOld > 0, "no watch was refused as too old")
+        finishedJobIds.forEach(poll)
         cluster.run(cluster.now + 2 * SECOND)
-        assertEquals(0, answers.count { it.status == 404 }, "cut for $cutMs ms")
-        assertTrue(answers.count { it.status == 200 } >= finished.size, "${answers.size} answers")
+        assertEquals(0, answers.count { it.status == 404 }, "404 answers after a disconnection of $cutMs ms")
+        val okAnswers = answers.count { it.status == 200 }
+        assertTrue(okAnswers >= finishedJobIds.size, "answers: ${answers.size}, with status 200: $okAnswers")
     }
 
     /**
-     * A controller whose watch is too old reads all records anew. Its lost lease once made it follow from nothing in the
-     * midst of that: the records were emptied once more, and jobs of the pages read before were answered with 404.
+     * A controller whose watch is too old loads all records again. When it lost its lease during this load, it opened a watch on
+     * the incomplete cache. The cache was reset once more, and polls for jobs of the pages already loaded got 404.
      */
     @Test
-    fun `a controller that loses its lease while it reads all records anew forgets no job`() =
+    fun `a controller that loses its lease while it loads all records again forgets no job`() =
         (12_000L..12_750L step 250).forEach { cut ->
-            readAnew(cut) { call ->
+            assertReloadForgetsNoJob(cut) { call ->
                 when {
                     call.path.endsWith("/touch") -> 900
                     call.path.startsWith("/keys") -> 300
@@ -248,23 +251,23 @@
             }
         }
 
-    /** A controller's link to the state service, whose calls the test answers in the order it likes. */
-    private class ScriptedLink {
+    /** A controller's state store client whose calls the test answers in any order. */
+    private class ScriptedStateStore {
         val context = EngineContext(SampleJobs.settings(0), SplittableRandom(1))
         val stateStore = StateStoreClient(context, RecordFormatNegotiator(context))
-        private val open = LinkedHashMap<Long, Call>()
+        private val openCalls = LinkedHashMap<Long, Call>()
         private var now = 0L
 
         private fun step() {
             now += 200 * MILLI
             context.startStep(now, now)
             stateStore.tick()
-            context.takeEffects().filterIsInstance<Effect.Start>().forEach { open[it.id] = it.call }
+            context.takeEffects().filterIsInstance<Effect.Start>().forEach { openCalls[it.id] = it.call }
         }
 
-        fun isOpen(path: String): Boolean = open.values.any { path in it.path }
+        fun isOpen(path: String): Boolean = openCalls.values.any { path in it.path }
 
-        /** Answers the one open call to [path], for which the link may pause up to two seconds. */
+        /** Answers the only open call whose path contains [path]; waits up to two seconds for that call. */
         fun answer(
             path: String,
             status: Int,
@@ -272,12 +275,12 @@
         ) {
             step()
             repeat(10) { if (!isOpen(path)) step() }
-            val id = open.entries.single { path in it.value.path }.key
-            open -= id
+            val id = openCalls.entries.single { path in it.value.path }.key
+            openCalls -= id
             context.callDone(id, Outcome.Answered(status, body.encodeToByteArray()))
         }
 
-        fun page(
+        fun answerPage(
             job: Int,
             more: Boolean,
         ) = answer(
@@ -287,9 +290,9 @@
                "has_next":$more,"ledger_rev":9}""",
         )
 
-        /** Loads job 1, joins, and catches up once by itself. */
-        fun serve() {
-            page(1, more = false)
+        /** Answers the calls with which the client loads job 1, registers and catches up for the first time. */
+        fun startServing() {
+            answerPage(1, more = false)
             answer("/leases", 200, """{"tenure":7}""")
             answer("/multi", 200, """{"ledger_rev":10}""")
             answer("wait_ms=0", 200, NOTHING_NEW)
@@ -298,51 +301,51 @@
     }
 
     /**
-     * A catch-up whose answer came while all records were read anew once emptied them in the midst of that, or let
-     * questions be answered from them: either way jobs that were accepted got 404.
+     * A catch-up that was answered while all records were loaded again either reset the incomplete cache once more, or let polls
+     * be answered from it. In both cases polls for accepted jobs got 404.
      */
     @Test
-    fun `a catch-up that is answered while all records are read anew proves nothing and empties nothing`() {
+    fun `a catch-up that is answered while all records are loaded again fails and does not reset the cache`() {
         for ((status, body) in listOf(410 to "{}", 200 to NOTHING_NEW)) {
-            val script = ScriptedLink().apply { serve() }
-            val caughtUp = ArrayList<Boolean>()
-            script.stateStore.afterCatchUp { caughtUp += it }
-            script.answer("wait_ms=10000", 410, "{}")
-            script.page(1, more = true)
-            assertTrue(script.isOpen("wait_ms=0") && caughtUp.isEmpty(), "the catch-up is under way")
-            script.answer("wait_ms=0", status, body)
-            assertEquals(listOf(false), caughtUp, "answered with $status")
-            script.page(2, more = false)
-            assertTrue((1..2).all { script.context.cache.isKnown(JobId("req-$it")) }, "answered with $status")
-            script.answer("wait_ms=0", 200, NOTHING_NEW)
-            assertTrue(script.stateStore.isServing, "answered with $status")
-            assertEquals(listOf(false), caughtUp, "answered with $status")
+            val scripted = ScriptedStateStore().apply { startServing() }
+            val catchUpResults = ArrayList<Boolean>()
+            scripted.stateStore.afterCatchUp { catchUpResults += it }
+            scripted.answer("wait_ms=10000", 410, "{}")
+            scripted.answerPage(1, more = true)
+            assertTrue(scripted.isOpen("wait_ms=0") && catchUpResults.isEmpty(), "the catch-up is in flight")
+            scripted.answer("wait_ms=0", status, body)
+            assertEquals(listOf(false), catchUpResults, "answered with $status")
+            scripted.answerPage(2, more = false)
+            assertTrue((1..2).all { scripted.context.cache.isKnown(JobId("req-$it")) }, "answered with $status")
+            scripted.answer("wait_ms=0", 200, NOTHING_NEW)
+            assertTrue(scripted.stateStore.isServing, "answered with $status")
+            assertEquals(listOf(false), catchUpResults, "answered with $status")
         }
     }
 
-    /** Joining that ended while all records were read anew once made a controller serve from none. */
+    /** A registration that completed while all records were loaded again made a controller serve from an empty cache. */
     @Test
-    fun `a controller that joins while it must read all records anew does not serve before it has`() {
-        val script = ScriptedLink()
-        script.page(1, more = false)
-        script.answer("/leases", 200, """{"tenure":7}""")
-        script.answer("wait_ms=10000", 410, "{}")
-        script.answer("/multi", 200, """{"ledger_rev":10}""")
-        assertFalse(script.stateStore.isServing)
-        script.page(1, more = false)
-        assertTrue(script.stateStore.isServing)
+    fun `a controller that registers while it loads all records again does not serve before the load ends`() {
+        val scripted = ScriptedStateStore()
+        scripted.answerPage(1, more = false)
+        scripted.answer("/leases", 200, """{"tenure":7}""")
+        scripted.answer("wait_ms=10000", 410, "{}")
+        scripted.answer("/multi", 200, """{"ledger_rev":10}""")
+        assertFalse(scripted.stateStore.isServing)
+        scripted.answerPage(1, more = false)
+        assertTrue(scripted.stateStore.isServing)
     }
 
-    /** The late answer to the write of a submission once made its user hear `queued` of a job known here as cancelled. */
+    /** A submission whose write was answered late got the stage `queued` although this controller knew the job as cancelled. */
     @Test
-    fun `a submission whose write is answered late is told what has become of the job`() {
-        val script = ScriptedLink().apply { serve() }
-        val pendingRequests = PendingRequests(script.context, script.stateStore, JobAnswers(script.context, script.stateStore))
+    fun `a submission whose write is answered late gets the current stage of the job`() {
+        val scripted = ScriptedStateStore().apply { startServing() }
+        val pendingRequests = PendingRequests(scripted.context, scripted.stateStore, JobAnswers(scripted.context, scripted.stateStore))
         val answers = ArrayList<Answer>()
         pendingRequests.addSubmission(batch(5)) { answers += it }
-        script.context.cache.apply(Keys.job(id(5)), RecordCodec.finalJson(StoredStage.CANCELLED, 1), 20)
+        scripted.context.cache.apply(Keys.job(id(5)), RecordCodec.finalJson(StoredStage.CANCELLED, 1), 20)
         pendingRequests.onSubmissionStored(JobId(id(5)))
-        script.context
+        scripted.context
             .takeEffects()
             .filterIsInstance<Effect.Send>()
             .forEach { it.reply.answer(it.answer) }
