--- a/src/test/kotlin/mintpick/architecture/DocumentedNamesTest.kt
+++ b/src/test/kotlin/mintpick/architecture/DocumentedNamesTest.kt
@@ -8,18 +8,19 @@
 import kotlin.io.path.extension
 import kotlin.io.path.readText
 
-/** Pages for people on call name classes and members: a name that was changed in the code alone misleads them. */
+/** Guards against documentation pages that refer to classes and members by names that have changed in the code. */
 class DocumentedNamesTest {
     private val sources: List<String> by lazy {
         Files.walk(Path.of("src")).use { files -> files.filter { it.extension == "kt" }.map { it.readText() }.toList() }
     }
 
     @TestFactory
-    fun `members that a page names exist in a file that declares their class`() =
+    fun `members named on a page occur in a file that declares their class`() =
         PAGES.map { page ->
             DynamicTest.dynamicTest(page) {
-                val named = MEMBER.findAll(Path.of(page).readText()).map { Member(it.groupValues[1], it.groupValues[2]) }.toSet()
-                assertEquals(emptyList<Member>(), named.filterNot(::exists))
+                val matches = MEMBER_PATTERN.findAll(Path.of(page).readText())
+                val namedMembers = matches.map { Member(it.groupValues[1], it.groupValues[2]) }.toSet()
+                assertEquals(emptyList<Member>(), namedMembers.filterNot(::exists))
             }
         }
 
@@ -35,8 +36,8 @@
     }
 
     private companion object {
-        /** A class in backticks, with its packages before it or not, and one of its members. */
-        val MEMBER = Regex("""`(?:[a-z]+\.)*([A-Z]\w+)\.(\w+)`""")
+        /** Matches `Class.member` in backticks, with or without the package name. */
+        val MEMBER_PATTERN = Regex("""`(?:[a-z]+\.)*([A-Z]\w+)\.(\w+)`""")
         val PAGES =
             listOf("design", "limits", "fault-combinations", "operations", "questions", "upgrade").map { "docs/$it.md" }
     }
--- a/src/test/kotlin/mintpick/architecture/PackageDirectionTest.kt
+++ b/src/test/kotlin/mintpick/architecture/PackageDirectionTest.kt
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Packages of the engine import one way, and what is pure knows nothing of the engine. */
+/** Packages of the engine depend on each other in one direction only, and packages below the engine do not depend on it. */
 class PackageDirectionTest {
     private val mainClasses: JavaClasses by lazy {
         ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages(ROOT)
     }
 
-    /** One rule a package: it does not depend on any package above it. */
+    /** One rule for each package: it does not depend on any package above it. */
     private fun directionRules(): List<ArchRule> =
         LAYERS.mapIndexed { level, layer ->
             val above = LAYERS.drop(level + 1).map { "$ENGINE.$it.." } + ENGINE
@@ -34,12 +34,12 @@
     ): List<String> = rules.flatMap { it.evaluate(classes).failureReport.details }
 
     @Test
-    fun `packages of the engine import only packages below them`() {
+    fun `engine packages depend only on packages below them`() {
         assertEquals(emptyList<String>(), violations(mainClasses, directionRules()))
     }
 
     @Test
-    fun `every package of the engine has its place in the order`() {
+    fun `every engine package is listed in the layer order`() {
         val packages =
             mainClasses
                 .map { it.packageName }
@@ -49,10 +49,10 @@
     }
 
     @Test
-    fun `an import upwards is found`() {
-        val planted = ClassFileImporter().importClasses(UpwardImport::class.java)
+    fun `a dependency on a higher package is reported`() {
+        val violation = ClassFileImporter().importClasses(UpwardImport::class.java)
         assertTrue(
-            violations(planted, directionRules().map { it.allowEmptyShould(true) }).any {
+            violations(violation, directionRules().map { it.allowEmptyShould(true) }).any {
                 "UpwardImport" in it &&
                     "CapacityPlanner" in it
             },
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `pure packages and protocols do not know the engine`() {
+    fun `packages below the engine do not depend on it`() {
         val rule =
             noClasses()
                 .that()
@@ -75,7 +75,7 @@
         const val ROOT = "mintpick"
         const val ENGINE = "$ROOT.engine"
 
-        /** From the lowest to the highest; [ENGINE] itself, with the event loop, is above all of them. */
+        /** Packages of the engine from the lowest to the highest. [ENGINE] itself, which contains the event loop, is above all of them. */
         val LAYERS = listOf("cache", "runtime", "state", "transactions", "membership", "agents", "jobs", "scheduling", "capacity")
         val BELOW_THE_ENGINE = listOf("wire", "config", "core", "dependencies", "store", "cloud", "agents", "net")
     }
--- a/src/test/kotlin/mintpick/differential/ComparedController.kt
+++ b/src/test/kotlin/mintpick/differential/ComparedController.kt
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom
 
 /**
- * Steps two engines with the same events and compares their effects; the cluster sees only what [present] does. From the first
- * difference of its life on, [base] is no longer stepped: it would get answers to calls that it never made.
+ * Steps two engines with the same events and compares their effects; only the effects of [present] reach the cluster. After the
+ * first difference [base] is not stepped any more, because it would receive answers to calls that it never made.
  */
 internal class ComparedController(
     private val base: SimulatedCluster.Controller,
@@ -18,18 +18,18 @@
     private val comparison: Comparison,
     private val name: String,
 ) : SimulatedCluster.Controller {
-    private class Logged(
+    private class LoggedEvent(
         val step: Long,
         val now: Micros,
         val event: Event?,
     ) {
-        fun shown() = "step $step at $now us: ${event?.shown() ?: "no events"}"
+        fun describe() = "step $step at $now us: ${event?.describe() ?: "no events"}"
     }
 
-    private val log = ArrayDeque<Logged>()
-    private val order = SplittableRandom(name.hashCode().toLong())
+    private val recentEvents = ArrayDeque<LoggedEvent>()
+    private val orderRandom = SplittableRandom(name.hashCode().toLong())
     private var step = 0L
-    private var differs = false
+    private var hasDiffered = false
 
     override fun step(
         now: Micros,
@@ -37,60 +37,62 @@
         events: List<Event>,
     ): List<Effect> {
         step++
-        if (differs) return present.step(now, wallClockUs, events)
-        val all = events + additionalEvents()
-        note(now, all)
-        return compared(now, wallClockUs, all)
+        if (hasDiffered) return present.step(now, wallClockUs, events)
+        val allEvents = events + additionalEvents()
+        log(now, allEvents)
+        return stepBoth(now, wallClockUs, allEvents)
     }
 
-    /** What no simulated user or person on call sends: questions for the status page, and submissions that break the format. */
+    /** Events that no simulated user or operator sends: status page requests and malformed submissions. */
     private fun additionalEvents(): List<Event> =
         buildList {
-            if (step % INSPECT_EVERY == 0L) add(Event.StatusRequest(ReplyTo { }))
-            if (step % MALFORMED_EVERY == 0L) add(Event.Malformed(malformedId(), "tasks: missing", ReplyTo { }))
+            if (step % STATUS_REQUEST_INTERVAL_STEPS == 0L) add(Event.StatusRequest(ReplyTo { }))
+            if (step % MALFORMED_INTERVAL_STEPS == 0L) add(Event.Malformed(malformedJobId(), "tasks: missing", ReplyTo { }))
         }
 
-    /** In turn of a job that was accepted and of one that never was. */
-    private fun malformedId() = JobId(if (step / MALFORMED_EVERY % 2 == 0L) "req-000001" else "req-999999")
+    /** Alternates between the id of an accepted job and an id that was never submitted. */
+    private fun malformedJobId() = JobId(if (step / MALFORMED_INTERVAL_STEPS % 2 == 0L) "req-000001" else "req-999999")
 
-    private fun note(
+    private fun log(
         now: Micros,
         events: List<Event>,
     ) {
-        if (events.isEmpty()) log += Logged(step, now, null) else events.forEach { log += Logged(step, now, it) }
-        while (log.size > MOST_LOGGED) log.removeFirst()
+        if (events.isEmpty()) recentEvents += LoggedEvent(step, now, null)
+        events.forEach { recentEvents += LoggedEvent(step, now, it) }
+        while (recentEvents.size > MAX_LOGGED_EVENTS) recentEvents.removeFirst()
     }
 
-    private fun compared(
+    private fun stepBoth(
         now: Micros,
         wallClockUs: Micros,
         events: List<Event>,
     ): List<Effect> {
-        // Whoever goes second finds the processor's caches warm. Drawn: some work comes in every second step only.
-        val baseFirst = order.nextBoolean()
-        val early = if (baseFirst) resultOf { base.step(now, wallClockUs, events) } else null
-        val ours = resultOf { present.step(now, wallClockUs, events) }
-        val theirs = early ?: resultOf { base.step(now, wallClockUs, events) }
+        // The engine that runs second benefits from warm CPU caches, so the order varies. It is random rather than alternating,
+        // because some work occurs only in every second step.
+        val baseFirst = orderRandom.nextBoolean()
+        val firstBaseResult = if (baseFirst) resultOf { base.step(now, wallClockUs, events) } else null
+        val presentResult = resultOf { present.step(now, wallClockUs, events) }
+        val baseResult = firstBaseResult ?: resultOf { base.step(now, wallClockUs, events) }
         comparison.steps++
         comparison.events += events.size
-        if (ours is StepResult.Returned) comparison.effects += ours.effects.size
-        differenceOf(theirs, ours)?.let(::tell)
-        return when (ours) {
-            is StepResult.Returned -> ours.effects
-            is StepResult.Failed -> throw ours.cause
+        if (presentResult is StepResult.Returned) comparison.effects += presentResult.effects.size
+        differenceOf(baseResult, presentResult)?.let(::recordDifference)
+        return when (presentResult) {
+            is StepResult.Returned -> presentResult.effects
+            is StepResult.Failed -> throw presentResult.cause
         }
     }
 
-    private fun tell(detail: String) {
-        differs = true
-        comparison.differences += Difference(comparison.day, name, step, detail, log.map { it.shown() })
+    private fun recordDifference(detail: String) {
+        hasDiffered = true
+        comparison.differences += Difference(comparison.day, name, step, detail, recentEvents.map { it.describe() })
     }
 
     private companion object {
-        const val MOST_LOGGED = 30
+        const val MAX_LOGGED_EVENTS = 30
 
-        /** Its own account of itself shows where an engine's state differs before its calls do. */
-        const val INSPECT_EVERY = 50
-        const val MALFORMED_EVERY = 333
+        /** The status page reveals differences in an engine's state before they show in its calls. */
+        const val STATUS_REQUEST_INTERVAL_STEPS = 50
+        const val MALFORMED_INTERVAL_STEPS = 333
     }
 }
--- a/src/test/kotlin/mintpick/differential/Comparison.kt
+++ b/src/test/kotlin/mintpick/differential/Comparison.kt
@@ -1,8 +1,8 @@
 package mintpick.differential
 
-import mintpick.upgrade.StepCost
+import mintpick.upgrade.StepCpuTime
 
-/** The first step of one controller's life in which the engines differed, and the last events up to it. */
+/** The first step since a controller's start in which the engines differed, with the last events up to that step. */
 internal class Difference(
     val day: String,
     val controller: String,
@@ -10,10 +10,10 @@
     val detail: String,
     val events: List<String>,
 ) {
-    fun report(): String = "$day, $controller, step $step: $detail\nlast events, the newest last:\n" + events.joinToString("\n") { "  $it" }
+    fun report(): String = "$day, $controller, step $step: $detail\nlast events, newest last:\n" + events.joinToString("\n") { "  $it" }
 }
 
-/** What the compared controllers of one day, which run on one thread, counted and found. */
+/** Counts and differences of all compared controllers of one simulated day. Not thread-safe: a day runs on one thread. */
 internal class Comparison(
     val day: String,
 ) {
@@ -21,15 +21,15 @@
     var events = 0L
     var effects = 0L
     val differences = ArrayList<Difference>()
-    val baseCost = StepCost()
-    val presentCost = StepCost()
-    private val livesOf = HashMap<Int, Int>()
+    val baseCpuTime = StepCpuTime()
+    val presentCpuTime = StepCpuTime()
+    private val startsByNode = HashMap<Int, Int>()
 
-    /** Controllers started again after an end. */
-    val restarts: Int get() = livesOf.values.sumOf { it - 1 }
+    /** Number of controller starts other than the first start of each node. */
+    val restarts: Int get() = startsByNode.values.sumOf { it - 1 }
 
-    /** The name of the life that the controller of node [index] begins. */
-    fun begin(index: Int): String = "node-$index life ${livesOf.merge(index, 1, Int::plus)}"
+    /** Counts a start of the controller of node [index] and returns its name, which also seeds [ComparedController]'s order. */
+    fun nextControllerName(index: Int): String = "node-$index life ${startsByNode.merge(index, 1, Int::plus)}"
 }
 
 /** The counts of all [days] in one line. */
--- a/src/test/kotlin/mintpick/differential/DifferentialReportTest.kt
+++ b/src/test/kotlin/mintpick/differential/DifferentialReportTest.kt
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test
 import java.util.SplittableRandom
 
-/** The differential run sees a change of behaviour, says where it is, and sees none where there is none. */
+/** The differential test detects changed behaviour, reports the step in which it occurs and reports nothing for equal engines. */
 class DifferentialReportTest {
-    /** An engine whose effects [alter] changes in its first step from [from] on that has such as it wants. */
-    private class Altered(
+    /** An engine whose effects are changed once: in the first step from [firstStep] on for which [alter] returns a result. */
+    private class AlteredEngine(
         private val engine: SimulatedCluster.Controller,
-        private val from: Int,
+        private val firstStep: Int,
         private val alter: (List<Effect>) -> List<Effect>?,
     ) : SimulatedCluster.Controller {
         private var step = 0L
@@ -33,16 +33,16 @@
         ): List<Effect> {
             step++
             val effects = engine.step(now, wallClockUs, events)
-            if (alteredIn != null || step < from) return effects
+            if (alteredIn != null || step < firstStep) return effects
             return alter(effects)?.also { alteredIn = step } ?: effects
         }
     }
 
-    private class Found(
+    private class AlteredDay(
         val comparison: Comparison,
-        val altered: Altered,
+        val altered: AlteredEngine,
     ) {
-        /** What was found of the altered controller in the life in which it was altered. */
+        /** The only difference of the day, which must be that of the altered controller. */
         val difference: Difference get() = comparison.differences.single()
     }
 
@@ -51,24 +51,29 @@
         seed: Long,
     ) = SimulatedCluster.Controller(Engine(node.settings, Operators(), SplittableRandom(seed))::step)
 
-    /** A short drawn day on which the first life of one controller is altered. */
-    private fun play(alter: (List<Effect>) -> List<Effect>?): Found {
-        val comparison = Comparison("drawn day $SEED")
-        lateinit var altered: Altered
+    /** Plays a random fault day on which one controller is altered from its first start until it restarts. */
+    private fun play(alter: (List<Effect>) -> List<Effect>?): AlteredDay {
+        val comparison = Comparison("random fault day $SEED")
+        lateinit var altered: AlteredEngine
         playRandomFaultDay(SEED) { cluster ->
-            cluster.controllerOf = { node ->
+            cluster.controllerFactory = { node ->
                 val seed = cluster.random.nextLong()
-                val name = comparison.begin(node.index)
+                val name = comparison.nextControllerName(node.index)
                 val present = engine(node, seed)
-                val shown = if (name == ALTERED) Altered(present, FROM, alter).also { altered = it } else present
-                ComparedController(engine(node, seed), shown, comparison, name)
+                val presentOrAltered =
+                    if (name == ALTERED_CONTROLLER) {
+                        AlteredEngine(present, FIRST_ALTERED_STEP, alter).also { altered = it }
+                    } else {
+                        present
+                    }
+                ComparedController(engine(node, seed), presentOrAltered, comparison, name)
             }
         }
-        return Found(comparison, altered)
+        return AlteredDay(comparison, altered)
     }
 
-    /** Replaces the first effect that [change] applies to. */
-    private inline fun <reified T : Effect> first(crossinline change: (T) -> List<Effect>): (List<Effect>) -> List<Effect>? =
+    /** Replaces the first effect of type [T] by the result of [change]. */
+    private inline fun <reified T : Effect> alterFirst(crossinline change: (T) -> List<Effect>): (List<Effect>) -> List<Effect>? =
         { effects ->
             val index = effects.indexOfFirst { it is T }
             if (index < 0) null else effects.take(index) + change(effects[index] as T) + effects.drop(index + 1)
@@ -80,16 +85,16 @@
         timeoutUs: Micros = this.timeoutUs,
     ) = Call(target, method, path, body, timeoutUs, contentType)
 
-    private fun assertFound(
+    private fun assertReported(
         detail: String,
         alter: (List<Effect>) -> List<Effect>?,
     ) {
-        val found = play(alter)
-        val difference = found.difference
-        assertEquals(found.altered.alteredIn, difference.step, "the step that was altered")
-        assertEquals(ALTERED, difference.controller)
+        val day = play(alter)
+        val difference = day.difference
+        assertEquals(day.altered.alteredIn, difference.step, "reported step is the altered step")
+        assertEquals(ALTERED_CONTROLLER, difference.controller)
         val report = difference.report()
-        assertTrue("drawn day $SEED, $ALTERED, step ${difference.step}" in report, report)
+        assertTrue("random fault day $SEED, $ALTERED_CONTROLLER, step ${difference.step}" in report, report)
         assertTrue(detail in report, report)
         assertTrue(difference.events.size in 2..30, report)
         assertTrue(difference.events.last().startsWith("step ${difference.step} at "), report)
@@ -97,60 +102,60 @@
     }
 
     @Test
-    fun `an engine beside its equal shows no difference`() {
-        val found = play { null }
-        assertEquals(emptyList<String>(), found.comparison.differences.map { it.report() })
-        assertTrue(found.comparison.effects > 1000, "${found.comparison.effects} effects compared")
-        assertTrue(found.comparison.events > 1000, "${found.comparison.events} events")
+    fun `equal engines show no difference`() {
+        val day = play { null }
+        assertEquals(emptyList<String>(), day.comparison.differences.map { it.report() })
+        assertTrue(day.comparison.effects > 1000, "${day.comparison.effects} effects compared")
+        assertTrue(day.comparison.events > 1000, "${day.comparison.events} events compared")
     }
 
     @Test
-    fun `an answer that is not sent is found`() = assertFound("send to handle", first<Effect.Send> { emptyList() })
+    fun `a missing answer is reported`() = assertReported("send to handle", alterFirst<Effect.Send> { emptyList() })
 
     @Test
-    fun `a different status is found`() =
-        assertFound("status=599", first<Effect.Send> { listOf(Effect.Send(it.reply, Answer(599, it.answer.body))) })
+    fun `a different status is reported`() =
+        assertReported("status=599", alterFirst<Effect.Send> { listOf(Effect.Send(it.reply, Answer(599, it.answer.body))) })
 
     @Test
-    fun `a different path is found`() =
-        assertFound("/elsewhere", first<Effect.Start> { listOf(Effect.Start(it.id, it.call.with(path = "/elsewhere"))) })
+    fun `a different path is reported`() =
+        assertReported("/elsewhere", alterFirst<Effect.Start> { listOf(Effect.Start(it.id, it.call.with(path = "/elsewhere"))) })
 
     @Test
-    fun `a body that differs by one byte is found`() =
-        assertFound(
+    fun `a body that differs by one byte is reported`() =
+        assertReported(
             "body=",
-            first<Effect.Start> {
+            alterFirst<Effect.Start> {
                 val body = (it.call.body ?: ByteArray(0)) + ' '.code.toByte()
                 listOf(Effect.Start(it.id, it.call.with(body = body)))
             },
         )
 
     @Test
-    fun `a timeout longer by a microsecond is found`() =
-        assertFound(
+    fun `a timeout longer by a microsecond is reported`() =
+        assertReported(
             "timeout_us=",
-            first<Effect.Start> { listOf(Effect.Start(it.id, it.call.with(timeoutUs = it.call.timeoutUs + 1))) },
+            alterFirst<Effect.Start> { listOf(Effect.Start(it.id, it.call.with(timeoutUs = it.call.timeoutUs + 1))) },
         )
 
     @Test
-    fun `two effects in the other order are found`() =
-        assertFound("effect 1", { effects -> if (effects.size < 2) null else listOf(effects[1], effects[0]) + effects.drop(2) })
+    fun `two effects in reverse order are reported`() =
+        assertReported("effect 1", { effects -> if (effects.size < 2) null else listOf(effects[1], effects[0]) + effects.drop(2) })
 
     @Test
-    fun `what only one of them throws is found`() {
-        val quiet = SimulatedCluster.Controller { _, _, _ -> emptyList() }
-        val throwing = SimulatedCluster.Controller { _, _, _ -> error("planted") }
+    fun `an exception thrown by only one engine is reported`() {
+        val idle = SimulatedCluster.Controller { _, _, _ -> emptyList() }
+        val throwing = SimulatedCluster.Controller { _, _, _ -> error("injected failure") }
         val comparison = Comparison("by hand")
-        assertEquals(emptyList<Effect>(), ComparedController(throwing, quiet, comparison, "node-0 life 1").step(1, 1, emptyList()))
-        assertTrue("base:    threw java.lang.IllegalStateException: planted" in comparison.differences.single().report())
-        val other = ComparedController(quiet, throwing, comparison, "node-0 life 2")
-        assertEquals("planted", runCatching { other.step(1, 1, emptyList()) }.exceptionOrNull()?.message)
-        assertTrue("present: threw java.lang.IllegalStateException: planted" in comparison.differences.last().report())
+        assertEquals(emptyList<Effect>(), ComparedController(throwing, idle, comparison, "node-0 life 1").step(1, 1, emptyList()))
+        assertTrue("base:    threw java.lang.IllegalStateException: injected failure" in comparison.differences.single().report())
+        val presentThrows = ComparedController(idle, throwing, comparison, "node-0 life 2")
+        assertEquals("injected failure", runCatching { presentThrows.step(1, 1, emptyList()) }.exceptionOrNull()?.message)
+        assertTrue("present: threw java.lang.IllegalStateException: injected failure" in comparison.differences.last().report())
     }
 
     private companion object {
         const val SEED = 1L
-        const val FROM = 400
-        const val ALTERED = "node-1 life 1"
+        const val FIRST_ALTERED_STEP = 400
+        const val ALTERED_CONTROLLER = "node-1 life 1"
     }
 }
--- a/src/test/kotlin/mintpick/differential/DifferentialTest.kt
+++ b/src/test/kotlin/mintpick/differential/DifferentialTest.kt
@@ -21,48 +21,48 @@
 import java.util.SplittableRandom
 import java.util.concurrent.ForkJoinPool
 
-/** Makes a controller that draws from the random numbers it is given. */
+/** Creates a controller that uses the given random number generator. */
 private typealias ControllerFactory = (SplittableRandom) -> SimulatedCluster.Controller
 
 /**
- * The engine of another commit and the present one get the same settings, seed and events, and must want the same done, byte by
- * byte. Not part of the ordinary run: `mvn test -Pdifferential -Dmintpick.base=COMMIT`.
+ * The engines of another commit and of the present sources get the same settings, seed and events, and must return the same
+ * effects, byte by byte. Not part of the ordinary run: `mvn test -Pdifferential -Dmintpick.base=COMMIT`.
  */
 @Tag("differential")
 class DifferentialTest {
     private val base by lazy { EngineVersion.of(System.getProperty("mintpick.base").orEmpty()) }
 
-    /** The present engine, loaded as the other is: steps behind a loader of their own cost a third more for equal code. */
-    private val loadedPresent by lazy { EngineVersion(Path.of("target/classes")) }
+    /** The present version in a separate class loader like [base], because that alone raises the CPU time of steps by a third. */
+    private val presentVersion by lazy { EngineVersion(Path.of("target/classes")) }
 
-    private fun Comparison.compared(
+    private fun Comparison.newController(
         cluster: SimulatedCluster,
         node: SimulatedCluster.Node,
         toml: String,
-        present: ControllerFactory = { SimulatedCluster.Controller(Engine(node.settings, Operators(), it)::step) },
+        newPresentController: ControllerFactory = { SimulatedCluster.Controller(Engine(node.settings, Operators(), it)::step) },
     ): SimulatedCluster.Controller {
         val seed = cluster.random.nextLong()
-        val earlier = VersionedEngine(base, toml, SplittableRandom(seed), baseCost)
-        return ComparedController(earlier, present(SplittableRandom(seed)), this, begin(node.index))
+        val baseController = VersionedEngine(base, toml, SplittableRandom(seed), baseCpuTime)
+        return ComparedController(baseController, newPresentController(SplittableRandom(seed)), this, nextControllerName(node.index))
     }
 
-    /** The day's own breaches of rules are other tests' concern. */
+    /** Ignores broken rules of the day, which other tests check. */
     private fun randomFaultDay(seed: Long): Comparison {
         val comparison = Comparison("random fault day $seed")
         playRandomFaultDay(seed) { cluster ->
-            cluster.controllerOf = { node -> comparison.compared(cluster, node, SampleJobs.toml(node.index)) }
+            cluster.controllerFactory = { node -> comparison.newController(cluster, node, SampleJobs.toml(node.index)) }
         }
         return comparison
     }
 
     private fun upgradeDay(seed: Long): Comparison {
         val comparison = Comparison("upgrade day $seed")
-        val roll =
+        val upgrade =
             RollingUpgrade(
                 seed,
                 UPGRADE_FAULT_RATES,
-            ) { cluster, node -> comparison.compared(cluster, node, RollingUpgrade.toml(node.index)) }
-        playUpgradeDay(seed, roll)
+            ) { cluster, node -> comparison.newController(cluster, node, RollingUpgrade.toml(node.index)) }
+        playUpgradeDay(seed, upgrade)
         return comparison
     }
 
@@ -70,25 +70,25 @@
         val comparison = Comparison("day of 1000 machines")
         val limits = FleetLimits(valueKb = 16, changesPerSecond = 25.0)
         playLargeFleetDay(1000, limits) { cluster ->
-            cluster.controllerOf = { node ->
+            cluster.controllerFactory = { node ->
                 val toml = largeFleetToml(node.index, limits)
-                comparison.compared(cluster, node, toml) { VersionedEngine(loadedPresent, toml, it, comparison.presentCost) }
+                comparison.newController(cluster, node, toml) { VersionedEngine(presentVersion, toml, it, comparison.presentCpuTime) }
             }
         }
         return comparison
     }
 
-    private fun assertSame(days: List<Comparison>) {
+    private fun assertNoDifferences(days: List<Comparison>) {
         println(summaryOf(days))
-        val found = days.flatMap { it.differences }
-        found.firstOrNull()?.let { println("first difference: ${it.report()}") }
-        assertEquals(emptyList<String>(), found.map { "${it.day}, ${it.controller}, step ${it.step}" })
-        assertTrue(days.all { it.effects > 0 }, "days without effects")
+        val differences = days.flatMap { it.differences }
+        differences.firstOrNull()?.let { println("first difference: ${it.report()}") }
+        assertEquals(emptyList<String>(), differences.map { "${it.day}, ${it.controller}, step ${it.step}" })
+        assertTrue(days.all { it.effects > 0 }, "every day has effects")
     }
 
     @Test
-    fun `drawn days show no difference`() {
-        val pool = ForkJoinPool(MOST_THREADS)
+    fun `random fault days show no difference`() {
+        val pool = ForkJoinPool(MAX_THREADS)
         val days =
             try {
                 pool
@@ -102,27 +102,27 @@
             } finally {
                 pool.shutdown()
             }
-        assertTrue(days.sumOf { it.restarts } >= LEAST_RESTARTS, "${days.sumOf { it.restarts }} restarts")
-        assertSame(days)
+        assertTrue(days.sumOf { it.restarts } >= MIN_RESTARTS, "${days.sumOf { it.restarts }} restarts")
+        assertNoDifferences(days)
     }
 
     @Test
-    fun `a day of an upgrade shows no difference`() = assertSame(listOf(upgradeDay(302)))
+    fun `an upgrade day shows no difference`() = assertNoDifferences(listOf(upgradeDay(302)))
 
     @Test
-    fun `a day of a thousand machines shows no difference, and what each engine's steps cost is told`() {
+    fun `a day of 1000 machines shows no difference and prints the CPU time of each engine's steps`() {
         val day = largeFleetDay()
-        val earlier = day.baseCost.nanoseconds / NANOS_IN_MILLI
-        val present = day.presentCost.nanoseconds / NANOS_IN_MILLI
-        val ratio = "%.3f".format(present.toDouble() / earlier)
-        println("differential: processor time of steps base_ms=$earlier present_ms=$present ratio=$ratio")
-        assertSame(listOf(day))
+        val baseMs = day.baseCpuTime.nanoseconds / NANOS_PER_MILLI
+        val presentMs = day.presentCpuTime.nanoseconds / NANOS_PER_MILLI
+        val ratio = "%.3f".format(presentMs.toDouble() / baseMs)
+        println("differential: processor time of steps base_ms=$baseMs present_ms=$presentMs ratio=$ratio")
+        assertNoDifferences(listOf(day))
     }
 
     private companion object {
         const val DAYS = 40L
-        const val MOST_THREADS = 3
-        const val LEAST_RESTARTS = 4
-        const val NANOS_IN_MILLI = 1_000_000
+        const val MAX_THREADS = 3
+        const val MIN_RESTARTS = 4
+        const val NANOS_PER_MILLI = 1_000_000
     }
 }
--- a/src/test/kotlin/mintpick/differential/MixedVersionsTest.kt
+++ b/src/test/kotlin/mintpick/differential/MixedVersionsTest.kt
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * Controllers of another commit and of the present sources share one state store, one cloud and the same machines, and no rule breaks.
- * A node changes its version whenever its process restarts, so each version continues from the records that the other wrote.
+ * Controllers of another commit and of the present sources share a state store, a cloud and machines, and no rule is broken.
+ * A node switches versions whenever its process restarts, so each version continues from records that the other wrote.
  * Not part of the ordinary run: `mvn test -Pdifferential -Dmintpick.base=COMMIT`.
  */
 @Tag("differential")
@@ -29,14 +29,14 @@
     )
 
     private fun play(seed: Long): MixedDay {
-        val starts = IntArray(NODES)
+        val processStarts = IntArray(NODES)
         var baseProcesses = 0
         var presentProcesses = 0
         val day =
             playRandomFaultDay(seed) { cluster ->
-                cluster.controllerOf = { node ->
+                cluster.controllerFactory = { node ->
                     val random = cluster.random.split()
-                    val runsBase = (node.index + seed + starts[node.index]++) % 2 == 0L
+                    val runsBase = (node.index + seed + processStarts[node.index]++) % 2 == 0L
                     if (runsBase) baseProcesses++ else presentProcesses++
                     if (runsBase) {
                         VersionedEngine(base, SampleJobs.toml(node.index), random)
@@ -49,24 +49,22 @@
     }
 
     @Test
-    fun `controllers of two versions side by side keep every rule`() {
+    fun `controllers of two versions running side by side break no rule`() {
         val days = FIRST_SEED.until(FIRST_SEED + DAYS).map(::play)
-        val starts = days.sumOf { it.day.starts }
-        println(
-            "mixed versions: days=${days.size} base=${days.sumOf {
-                it.baseProcesses
-            }} present=${days.sumOf { it.presentProcesses }} starts=$starts",
-        )
-        val broken = days.filter { it.day.breaches.isNotEmpty() }
-        assertEquals(emptyList<String>(), broken.map { "seed ${it.day.seed} with ${it.day.faults}: ${it.day.breaches}" })
+        val taskStarts = days.sumOf { it.day.starts }
+        val baseProcesses = days.sumOf { it.baseProcesses }
+        val presentProcesses = days.sumOf { it.presentProcesses }
+        println("mixed versions: days=${days.size} base=$baseProcesses present=$presentProcesses starts=$taskStarts")
+        val daysWithBreaches = days.filter { it.day.breaches.isNotEmpty() }
+        assertEquals(emptyList<String>(), daysWithBreaches.map { "seed ${it.day.seed} with ${it.day.faults}: ${it.day.breaches}" })
         assertTrue(days.all { it.baseProcesses > 0 && it.presentProcesses > 0 }, "both versions run on every day")
-        assertTrue(starts > MIN_STARTS, "$starts starts")
+        assertTrue(taskStarts > MIN_TASK_STARTS, "$taskStarts task starts")
     }
 
     private companion object {
         const val NODES = 3
         const val FIRST_SEED = 501L
         const val DAYS = 12L
-        const val MIN_STARTS = 300
+        const val MIN_TASK_STARTS = 300
     }
 }
--- a/src/test/kotlin/mintpick/differential/StepResult.kt
+++ b/src/test/kotlin/mintpick/differential/StepResult.kt
@@ -2,7 +2,7 @@
 
 import mintpick.engine.runtime.Effect
 
-/** What an engine made of one step. */
+/** Result of one step of an engine: its effects or the exception that it threw. */
 internal sealed interface StepResult {
     class Returned(
         val effects: List<Effect>,
@@ -13,38 +13,38 @@
     ) : StepResult
 }
 
-/** Runs [step] and keeps what it throws as its result. */
+/** Runs [step] and returns its effects, or what it threw as a failure. */
 internal fun resultOf(step: () -> List<Effect>): StepResult =
     try {
         StepResult.Returned(step())
     } catch (e: Exception) {
         StepResult.Failed(e)
     } catch (e: LinkageError) {
-        // A class that one version lacks is a difference; what the machine lacks, memory for one, is not.
+        // A class missing in one version is a difference. Other JVM errors, such as lack of memory, are not and propagate.
         StepResult.Failed(e)
     } catch (e: AssertionError) {
         StepResult.Failed(e)
     }
 
-/** In what [base] and [present] first differ, or null if they are alike byte by byte. */
+/** Describes the first difference between [base] and [present], or returns null if they are equal byte by byte. */
 internal fun differenceOf(
     base: StepResult,
     present: StepResult,
 ): String? =
     when {
         base is StepResult.Returned && present is StepResult.Returned -> differenceOf(base.effects, present.effects)
-        base is StepResult.Failed && present is StepResult.Failed && alike(base.cause, present.cause) -> null
-        else -> "base:    ${base.shown()}\npresent: ${present.shown()}"
+        base is StepResult.Failed && present is StepResult.Failed && areEqual(base.cause, present.cause) -> null
+        else -> "base:    ${base.describe()}\npresent: ${present.describe()}"
     }
 
-private fun StepResult.shown(): String =
+private fun StepResult.describe(): String =
     when (this) {
         is StepResult.Returned -> "${effects.size} effects"
         is StepResult.Failed -> "threw ${cause.stackTraceToString()}"
     }
 
-/** By simple name: a version's own exceptions may have moved to another package. */
-private fun alike(
+/** Compares simple class names, because exceptions of the service may have moved to another package. */
+private fun areEqual(
     base: Throwable,
     present: Throwable,
 ): Boolean = base.javaClass.simpleName == present.javaClass.simpleName && base.message == present.message
@@ -53,23 +53,24 @@
     base: List<Effect>,
     present: List<Effect>,
 ): String? {
-    val index = (0 until maxOf(base.size, present.size)).firstOrNull { !alike(base.getOrNull(it), present.getOrNull(it)) } ?: return null
+    val positions = 0 until maxOf(base.size, present.size)
+    val index = positions.firstOrNull { !areEqual(base.getOrNull(it), present.getOrNull(it)) } ?: return null
     return "effect ${index + 1} (base has ${base.size}, present has ${present.size})\n" +
-        "base:    ${base.getOrNull(index)?.shown() ?: "none"}\n" +
-        "present: ${present.getOrNull(index)?.shown() ?: "none"}"
+        "base:    ${base.getOrNull(index)?.describe() ?: "none"}\n" +
+        "present: ${present.getOrNull(index)?.describe() ?: "none"}"
 }
 
-private fun alike(
+private fun areEqual(
     base: Effect?,
     present: Effect?,
 ): Boolean =
     when {
-        base is Effect.Start && present is Effect.Start -> alike(base, present)
-        base is Effect.Send && present is Effect.Send -> alike(base, present)
+        base is Effect.Start && present is Effect.Start -> areEqual(base, present)
+        base is Effect.Send && present is Effect.Send -> areEqual(base, present)
         else -> false
     }
 
-private fun alike(
+private fun areEqual(
     base: Effect.Start,
     present: Effect.Start,
 ): Boolean =
@@ -81,7 +82,7 @@
         base.call.contentType == present.call.contentType &&
         base.call.body.contentEquals(present.call.body)
 
-private fun alike(
+private fun areEqual(
     base: Effect.Send,
     present: Effect.Send,
 ): Boolean =
--- a/src/test/kotlin/mintpick/engine/state/MachineListLayoutTest.kt
+++ b/src/test/kotlin/mintpick/engine/state/MachineListLayoutTest.kt
@@ -9,7 +9,6 @@
 import mintpick.core.MachineId
 import mintpick.store.RecordCodec
 import mintpick.store.RecordFormat
-import mintpick.testing.listed
 import mintpick.wire.MachineRecord
 import mintpick.wire.Retiring
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/mintpick/simulation/AgentPartitionTest.kt
+++ b/src/test/kotlin/mintpick/simulation/AgentPartitionTest.kt
@@ -6,7 +6,7 @@
 import mintpick.testing.SampleJobs
 import mintpick.testing.SimulatedCluster
 import mintpick.testing.assertRulesHeld
-import mintpick.testing.claimsOf
+import mintpick.testing.claimedShardCount
 import mintpick.testing.leader
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -30,28 +30,28 @@
     private fun checkIsolatedController(seed: Long) {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 120)) { SampleJobs.settings(it) }
         (1..60).forEach { n ->
-            cluster.after(n * SECOND / 8) { cluster.user(SampleJobs.service(n, team = "blue", tasks = 3, cpus = 2.0), null) }
+            cluster.after(n * SECOND / 8) { cluster.addUser(SampleJobs.service(n, team = "blue", tasks = 3, cpus = 2.0), null) }
         }
         cluster.run(60 * SECOND)
         val isolated = cluster.leader()
-        isolated.cutFromWorkers = true
+        isolated.cutFromAgents = true
         cluster.run(85 * SECOND)
-        val epochsBefore = cluster.workers.values.associate { it.id to it.session }
+        val epochsBefore = cluster.agents.values.associate { it.id to it.agentEpoch }
         // Removes all machines, including those whose calls failed, four per second, while new ones are rented.
-        cluster.workers.keys
+        cluster.agents.keys
             .toList()
             .chunked(4)
             .forEachIndexed { n, removed -> cluster.after(n * SECOND) { removed.forEach(cluster::remove) } }
         (101..130).forEach { n ->
-            cluster.after((n - 100) * SECOND) { cluster.user(SampleJobs.service(n, team = "blue", tasks = 3, cpus = 2.0), null) }
+            cluster.after((n - 100) * SECOND) { cluster.addUser(SampleJobs.service(n, team = "blue", tasks = 3, cpus = 2.0), null) }
         }
         cluster.run(150 * SECOND)
-        val expired = cluster.workers.values.filter { it.session > (epochsBefore[it.id] ?: 1) }
+        val expired = cluster.agents.values.filter { it.agentEpoch > (epochsBefore[it.id] ?: 1) }
         assertEquals(emptyList<String>(), expired.map { it.id }, "machines with expired leases that others could serve")
-        isolated.cutFromWorkers = false
-        cluster.rules.faultsOverSinceUs = cluster.now
+        isolated.cutFromAgents = false
+        cluster.rules.faultsOverAtUs = cluster.now
         cluster.run(215 * SECOND)
-        assertTrue(cluster.claimsOf(isolated) > 0, "the controller owns no shard after the partition")
+        assertTrue(cluster.claimedShardCount(isolated) > 0, "the controller owns no shard after the partition")
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/BacklogTest.kt
+++ b/src/test/kotlin/mintpick/simulation/BacklogTest.kt
@@ -20,7 +20,7 @@
         Settings.parse(SampleJobs.toml(index).replace("write_rps = 40.0", "write_rps = $writesPerSecond"))
     }
 
-    private fun SimulatedCluster.emptyMachines(): Int = workers.keys.count { rules.attemptsOn(it).isEmpty() }
+    private fun SimulatedCluster.emptyMachines(): Int = agents.keys.count { rules.tasksOn(it).isEmpty() }
 
     /** The number of empty machines after each of the next 30 seconds. */
     private fun SimulatedCluster.emptyMachinesEachSecond(): List<Int> =
@@ -41,11 +41,11 @@
         (1..JOBS).forEach { n ->
             val submittedS = n / 6.0
             val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", cpus = 4.0, tasks = 1, estimateS = JOBS_END_S - submittedS)
-            cluster.after((submittedS * SECOND).toLong()) { cluster.user(spec, null) }
+            cluster.after((submittedS * SECOND).toLong()) { cluster.addUser(spec, null) }
         }
         (1..LARGE_JOBS).forEach { n ->
             val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", cpus = 4.0, tasks = 40, estimateS = 30.0)
-            cluster.after(60 * SECOND + n) { cluster.user(spec, null) }
+            cluster.after(60 * SECOND + n) { cluster.addUser(spec, null) }
         }
         return cluster
     }
@@ -81,9 +81,9 @@
                 val cluster = clusterWithFullFleet(seed, writesPerSecond = 60.0)
                 cluster.run(JOBS_END_S.toLong() * SECOND)
                 assertEquals(0, cluster.emptyMachines(), "empty machines in a fleet that should be full")
-                cluster.stateStoreFaults.lost = 450
+                cluster.stateStoreFaults.lossRate = 450
                 val emptyCounts = cluster.emptyMachinesEachSecond()
-                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "no transaction was carried out late")
+                assertTrue(cluster.stateStoreFaults.applied().isNotEmpty(), "no transaction was carried out late")
                 cluster.assertRulesHeld()
                 emptyCounts.sum()
             }
--- a/src/test/kotlin/mintpick/simulation/CancellationBoundTest.kt
+++ b/src/test/kotlin/mintpick/simulation/CancellationBoundTest.kt
@@ -44,7 +44,7 @@
                     if (answer.status == OK) {
                         confirmed += id
                         val stage = WireJson.decodeFromString(JobAnswer.serializer(), answer.body.decodeToString()).stage
-                        cluster.rules.told(id, stage, cluster.now)
+                        cluster.rules.jobAnswered(id, stage, cluster.now)
                     }
                 }
             node.deliver(Event.Cancel(JobId(id), reply))
@@ -63,7 +63,7 @@
         injectFault: Scenario.() -> Unit,
     ): Scenario {
         val cluster = SimulatedCluster(seed, FaultRates()) { SampleJobs.settings(it) }
-        (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
+        (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(service(n), null) } }
         cluster.run(60 * SECOND)
         val scenario = Scenario(cluster)
         scenario.leader.cutFromState = true
@@ -71,8 +71,8 @@
             val delayUs = SECOND + n * 40 * MILLI
             cluster.after(delayUs) { scenario.cancel("req-%06d".format(n), scenario.others[n % scenario.others.size]) }
         }
-        cluster.after(2 * SECOND) { cluster.state.out = true }
-        cluster.after(2 * SECOND + outageUs) { cluster.state.out = false }
+        cluster.after(2 * SECOND) { cluster.state.unavailable = true }
+        cluster.after(2 * SECOND + outageUs) { cluster.state.unavailable = false }
         cluster.after(14 * SECOND) { scenario.leader.cutFromState = false }
         scenario.injectFault()
         cluster.run(62 * SECOND + outageUs + 20 * SECOND)
@@ -99,22 +99,22 @@
                 cluster.after(5 * SECOND) { cluster.nodes.forEach { it.crash(300 * MILLI) } }
             },
             "a zone is cut off, and its controller answers for others" to {
-                cluster.after(2500 * MILLI) { cluster.zoneOut = leader.settings.zone }
-                cluster.after(50 * SECOND) { cluster.zoneOut = null }
+                cluster.after(2500 * MILLI) { cluster.isolatedZone = leader.settings.zone }
+                cluster.after(50 * SECOND) { cluster.isolatedZone = null }
             },
             "machines hang at first and carry on within their leases" to {
-                cluster.workers.values.forEach { it.hangingUntilUs = cluster.now + 15 * SECOND }
+                cluster.agents.values.forEach { it.hangingUntilUs = cluster.now + 15 * SECOND }
             },
             "machines hear no answers for a while" to {
-                cluster.workers.values.forEach { it.deaf = true }
-                cluster.after(16 * SECOND) { cluster.workers.values.forEach { it.deaf = false } }
+                cluster.agents.values.forEach { it.inboundLost = true }
+                cluster.after(16 * SECOND) { cluster.agents.values.forEach { it.inboundLost = false } }
             },
             "a second outage follows a short service" to {
-                cluster.after(26 * SECOND) { cluster.state.out = false }
-                cluster.after(27 * SECOND) { cluster.state.out = true }
+                cluster.after(26 * SECOND) { cluster.state.unavailable = false }
+                cluster.after(27 * SECOND) { cluster.state.unavailable = true }
                 cluster.after(26 * SECOND) { leader.cutFromState = true }
             },
-            "the cloud is down as well" to { cluster.cloud.out = true },
+            "the cloud is down as well" to { cluster.cloud.unavailable = true },
         )
 
     @TestFactory
@@ -129,7 +129,7 @@
         (11L..14L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = SimulatedCluster(seed, FaultRates()) { SampleJobs.settings(it) }
-                (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
+                (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(service(n), null) } }
                 cluster.run(60 * SECOND)
                 val scenario = Scenario(cluster)
                 scenario.leader.cutFromState = true
@@ -154,8 +154,8 @@
             DynamicTest.dynamicTest("seed $seed") {
                 val scenario =
                     runScenario(seed) {
-                        cluster.stateStoreFaults.slow = 300
-                        cluster.after(20 * SECOND) { cluster.stateStoreFaults.slow = 0 }
+                        cluster.stateStoreFaults.slowRate = 300
+                        cluster.after(20 * SECOND) { cluster.stateStoreFaults.slowRate = 0 }
                     }
                 assertTrue(scenario.cluster.stateStoreFaults.slowAnswers > 0, "no answer was slow")
             }
@@ -168,12 +168,12 @@
     @Test
     fun `services keep running through an outage of the state store that affects all controllers`() {
         val cluster = SimulatedCluster(7, FaultRates()) { SampleJobs.settings(it) }
-        (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
+        (1..JOBS).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(service(n), null) } }
         cluster.run(60 * SECOND)
         val starts = cluster.rules.starts
-        cluster.state.out = true
+        cluster.state.unavailable = true
         cluster.run(130 * SECOND)
-        cluster.state.out = false
+        cluster.state.unavailable = false
         cluster.run(150 * SECOND)
         assertEquals(JOBS * 2, starts)
         assertEquals(starts, cluster.rules.starts, "starts before and after the outage")
--- a/src/test/kotlin/mintpick/simulation/DependentJobsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/DependentJobsTest.kt
@@ -14,7 +14,7 @@
 import mintpick.testing.SimulatedCluster
 import mintpick.testing.SimulatedStateStore
 import mintpick.testing.assertRulesHeld
-import mintpick.testing.injectRandom
+import mintpick.testing.injectRandomFault
 import mintpick.testing.leader
 import mintpick.wire.JobAnswer
 import mintpick.wire.JobSpec
@@ -45,7 +45,7 @@
         state.limits = SimulatedStateStore.StateLimits(valueBytes = 2 * 1024, changes = 5, changesPerSecond = 18.0)
     }
 
-    private fun SimulatedCluster.assertWithinLimits() = assertEquals(emptyMap<String, Int>(), state.refused - "rate")
+    private fun SimulatedCluster.assertWithinLimits() = assertEquals(emptyMap<String, Int>(), state.refusals - "rate")
 
     private fun spec(
         n: Int,
@@ -61,7 +61,7 @@
     fun `chains and diamonds of dependent jobs run in order through random faults`() =
         (401L..408L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 20))
+                val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, duplicated = 20))
                 val pipelines = Pipelines(cluster, 1)
                 cluster.after(8 * SECOND) {
                     pipelines.submit(pipelines.chain(12))
@@ -71,14 +71,14 @@
                 }
                 repeat(4) {
                     cluster.after((10L + cluster.random.nextLong(60)) * SECOND) {
-                        cluster.injectRandom(
+                        cluster.injectRandomFault(
                             ALL_FAULTS,
                             4 * SECOND,
                             30 * SECOND,
                         )
                     }
                 }
-                cluster.after(110 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
+                cluster.after(110 * SECOND) { cluster.rules.faultsOverAtUs = cluster.now }
                 cluster.run(330 * SECOND)
                 cluster.rules.checkServed(cluster.now)
                 cluster.assertRulesHeld()
@@ -92,10 +92,10 @@
     @Test
     fun `hundreds of jobs wait for one predecessor, and one job waits for hundreds of predecessors`() {
         val cluster = cluster(411)
-        cluster.user(spec(1, estimateS = 40.0), null)
-        (2..301).forEach { n -> cluster.after(n * SECOND / 12) { cluster.user(spec(n, 1, estimateS = 1.0), null) } }
+        cluster.addUser(spec(1, estimateS = 40.0), null)
+        (2..301).forEach { n -> cluster.after(n * SECOND / 12) { cluster.addUser(spec(n, 1, estimateS = 1.0), null) } }
         val last = spec(400, *(1..301).toList().toIntArray())
-        cluster.user(last, null)
+        cluster.addUser(last, null)
         val allIds = (1..301).map { "req-%06d".format(it) } + last.id
         cluster.run(60 * SECOND)
         assertEquals(emptyList<String>(), allIds.filterNot(cluster.rules::isAccepted), "jobs not accepted")
@@ -192,7 +192,7 @@
         val chain = Pipelines(cluster, 1).chain(6)
         cluster.after(8 * SECOND) {
             chain.forEachIndexed { i, job ->
-                cluster.user(
+                cluster.addUser(
                     job.copy(estimateS = 120.0),
                     if (i ==
                         1
@@ -205,10 +205,10 @@
             }
         }
         cluster.after(19 * SECOND) { cluster.leader().cutFromState = true }
-        cluster.after(21 * SECOND) { cluster.state.out = true }
+        cluster.after(21 * SECOND) { cluster.state.unavailable = true }
         cluster.after(35 * SECOND) { cluster.nodes[1].crash(SECOND / 3) }
         cluster.after(75 * SECOND) {
-            cluster.state.out = false
+            cluster.state.unavailable = false
             cluster.nodes.forEach { it.cutFromState = false }
         }
         cluster.run(180 * SECOND)
--- a/src/test/kotlin/mintpick/simulation/FaultyJobsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/FaultyJobsTest.kt
@@ -31,9 +31,9 @@
         cancelAfterUs: Micros?,
     ): SimulatedCluster {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 16)) { SampleJobs.settings(it) }
-        cluster.failing = { _, task -> task.substringBeforeLast('/') in faultyIds }
-        (1..30).forEach { n -> cluster.after(n * 3 * SECOND) { cluster.user(healthyJob(n), null) } }
-        faultyJobs.forEach { spec -> cluster.after(faultyFromUs) { cluster.user(spec, cancelAfterUs) } }
+        cluster.taskFails = { _, task -> task.substringBeforeLast('/') in faultyIds }
+        (1..30).forEach { n -> cluster.after(n * 3 * SECOND) { cluster.addUser(healthyJob(n), null) } }
+        faultyJobs.forEach { spec -> cluster.after(faultyFromUs) { cluster.addUser(spec, cancelAfterUs) } }
         return cluster
     }
 
@@ -50,8 +50,8 @@
         val cluster = cluster(seed = 71, faultyFromUs = 30 * SECOND, cancelAfterUs = null)
         listOf(withoutFaultyJobs, cluster).forEach { it.run(140 * SECOND) }
         assertTrue(
-            cluster.cloud.rented <= withoutFaultyJobs.cloud.rented + 6,
-            "${cluster.cloud.rented} machines rented instead of ${withoutFaultyJobs.cloud.rented}",
+            cluster.cloud.rentedMachines <= withoutFaultyJobs.cloud.rentedMachines + 6,
+            "${cluster.cloud.rentedMachines} machines rented instead of ${withoutFaultyJobs.cloud.rentedMachines}",
         )
         assertEquals(
             emptyList<String>(),
@@ -80,14 +80,14 @@
     fun `only the faulty machine is released while faulty jobs fail on other machines too`() {
         val cluster = cluster(seed = 73, faultyFromUs = 30 * SECOND, cancelAfterUs = null)
         cluster.run(35 * SECOND)
-        val faultyMachine = cluster.workers.values.maxBy { cluster.rules.attemptsOn(it.id).size }
-        val rentedBefore = cluster.cloud.rented
-        val jobFails = cluster.failing
-        cluster.failing = { machine, task -> machine === faultyMachine || jobFails(machine, task) }
-        (201..230).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(n), "blue", 1, cpus = 1.0, estimateS = 60.0), null) }
+        val faultyMachine = cluster.agents.values.maxBy { cluster.rules.tasksOn(it.id).size }
+        val rentedBefore = cluster.cloud.rentedMachines
+        val jobFails = cluster.taskFails
+        cluster.taskFails = { machine, task -> machine === faultyMachine || jobFails(machine, task) }
+        (201..230).forEach { n -> cluster.addUser(SampleJobs.spec("req-%06d".format(n), "blue", 1, cpus = 1.0, estimateS = 60.0), null) }
         cluster.run(80 * SECOND)
-        assertFalse(faultyMachine.id in cluster.workers, "the faulty machine is not released")
-        assertTrue(cluster.cloud.rented - rentedBefore < 6, "${cluster.cloud.rented - rentedBefore} more machines rented")
+        assertFalse(faultyMachine.id in cluster.agents, "the faulty machine is not released")
+        assertTrue(cluster.cloud.rentedMachines - rentedBefore < 6, "${cluster.cloud.rentedMachines - rentedBefore} more machines rented")
         cluster.run(200 * SECOND)
         assertEquals(
             emptyList<String>(),
@@ -104,13 +104,17 @@
     @Test
     fun `a job that has failed on every machine runs as soon as it no longer fails`() {
         val cluster = SimulatedCluster(76, FaultRates(), ClusterSize(machines = 30)) { SampleJobs.settings(it) }
-        cluster.failing = { _, task -> task < "req-000100" && cluster.now < 80 * SECOND }
+        cluster.taskFails = { _, task -> task < "req-000100" && cluster.now < 80 * SECOND }
         (1..8).forEach { n ->
-            cluster.after(n * SECOND) { cluster.user(SampleJobs.spec("req-%06d".format(n), "blue", 40, cpus = 2.0, estimateS = 8.0), null) }
-            cluster.after(n * SECOND) { cluster.user(SampleJobs.service(n + 20, team = "blue"), null) }
+            cluster.after(n * SECOND) {
+                cluster.addUser(SampleJobs.spec("req-%06d".format(n), "blue", 40, cpus = 2.0, estimateS = 8.0), null)
+            }
+            cluster.after(n * SECOND) { cluster.addUser(SampleJobs.service(n + 20, team = "blue"), null) }
         }
         (1..20).forEach { n ->
-            cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.spec("req-%06d".format(200 + n), "blue", 20, estimateS = 8.0), null) }
+            cluster.after(n * 5 * SECOND) {
+                cluster.addUser(SampleJobs.spec("req-%06d".format(200 + n), "blue", 20, estimateS = 8.0), null)
+            }
         }
         cluster.run(240 * SECOND)
         assertEquals(emptyList<Int>(), (1..8).filter { !cluster.rules.isComplete("req-%06d".format(it)) }, "jobs not completed")
@@ -125,14 +129,14 @@
     @Test
     fun `no machines are kept for faulty jobs, whichever controller has found them faulty`() {
         val cluster = SimulatedCluster(74, FaultRates(), ClusterSize(machines = 200)) { SampleJobs.settings(it) }
-        cluster.failing = { _, task -> task.substringBeforeLast('/') in faultyIds }
-        cluster.user(healthyJob(1), null)
+        cluster.taskFails = { _, task -> task.substringBeforeLast('/') in faultyIds }
+        cluster.addUser(healthyJob(1), null)
         cluster.run(30 * SECOND)
-        faultyJobs.forEach { cluster.user(it.copy(tasks = 400), null) }
+        faultyJobs.forEach { cluster.addUser(it.copy(tasks = 400), null) }
         cluster.run(50 * SECOND)
-        assertTrue(cluster.workers.size > 50, "${cluster.workers.size} machines before the jobs are found faulty")
+        assertTrue(cluster.agents.size > 50, "${cluster.agents.size} machines before the jobs are found faulty")
         cluster.run(150 * SECOND)
-        assertTrue(cluster.workers.size < 12, "${cluster.workers.size} machines are kept for faulty jobs")
+        assertTrue(cluster.agents.size < 12, "${cluster.agents.size} machines are kept for faulty jobs")
         cluster.assertRulesHeld()
     }
 
@@ -140,9 +144,9 @@
     @Test
     fun `no machines are rented for tasks that their team's limit delays`() {
         val cluster = SimulatedCluster(75, FaultRates(), ClusterSize(machines = 200)) { SampleJobs.settings(it) }
-        (1..10).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(n), "red", tasks = 60, estimateS = 30.0), null) }
+        (1..10).forEach { n -> cluster.addUser(SampleJobs.spec("req-%06d".format(n), "red", tasks = 60, estimateS = 30.0), null) }
         cluster.run(60 * SECOND)
-        assertTrue(cluster.cloud.rented < 12, "${cluster.cloud.rented} machines rented for 24 CPUs")
+        assertTrue(cluster.cloud.rentedMachines < 12, "${cluster.cloud.rentedMachines} machines rented for 24 CPUs")
         cluster.assertRulesHeld()
     }
 }
--- a/src/test/kotlin/mintpick/simulation/GrowthTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GrowthTest.kt
@@ -23,20 +23,20 @@
         (52L..54L).map { seed -> DynamicTest.dynamicTest("seed $seed") { checkScaleInAfterBacklog(seed) } }
 
     private fun checkScaleInAfterBacklog(seed: Long) {
-        val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 400, spot = 40)) { SampleJobs.settings(it) }
+        val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 400, spotMachines = 40)) { SampleJobs.settings(it) }
         (1..40).forEach { n ->
-            cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 40, cpus = 2.0, estimateS = 20.0), null)
+            cluster.addUser(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 40, cpus = 2.0, estimateS = 20.0), null)
         }
         var maxOnDemand = 0
         for (second in 10..60) {
             cluster.run(second * SECOND)
-            maxOnDemand = maxOf(maxOnDemand, cluster.workers.values.count { !it.spot })
+            maxOnDemand = maxOf(maxOnDemand, cluster.agents.values.count { !it.spot })
         }
         assertTrue(maxOnDemand > 250, "$maxOnDemand on-demand machines for the backlog")
         // The last one or two to boot may not be released yet.
-        assertTrue(cluster.workers.values.count { !it.spot } < 4, "on-demand machines left")
+        assertTrue(cluster.agents.values.count { !it.spot } < 4, "on-demand machines left")
         cluster.run(64 * SECOND)
-        assertEquals(0, cluster.workers.values.count { !it.spot }, "on-demand machines left")
+        assertEquals(0, cluster.agents.values.count { !it.spot }, "on-demand machines left")
         cluster.assertRulesHeld()
     }
 
@@ -51,18 +51,18 @@
             tasks += taskCount
             val spec =
                 SampleJobs.service(n, team = "blue", tasks = taskCount, spread = true)
-            cluster.after(n * SECOND / 8) { cluster.user(spec, null) }
+            cluster.after(n * SECOND / 8) { cluster.addUser(spec, null) }
         }
         (1..arrays).forEach { n ->
             val taskCount = 20 + n * 7 % 90
             tasks += taskCount
             val spec = SampleJobs.spec("req-%06d".format(1000 + n), team = "blue", tasks = taskCount, cpus = 4.0, estimateS = 10.0)
-            cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
+            cluster.after(n * SECOND / 4) { cluster.addUser(spec, null) }
         }
         cluster.run(110 * SECOND)
         val jobs = services + arrays
         cluster.assertRulesHeld()
-        assertTrue(cluster.workers.size > 500, "${cluster.workers.size} machines")
+        assertTrue(cluster.agents.size > 500, "${cluster.agents.size} machines")
         assertTrue(cluster.rules.starts >= tasks * 9 / 10, "${cluster.rules.starts} of $tasks tasks started")
         // A job is stored, placed and finished, and placed partially while writes are plentiful. That takes a few writes per
         // job, regardless of its number of tasks, which is over forty on average.
@@ -70,7 +70,7 @@
         val byKind = cluster.state.writesByKind
         assertTrue((byKind["j"] ?: 0) + (byKind["k"] ?: 0) < jobs * 8, "$byKind")
         // One record per shard, not per machine.
-        assertTrue((byKind["f"] ?: 0) < cluster.workers.size / 4, "$byKind for ${cluster.workers.size} machines")
+        assertTrue((byKind["f"] ?: 0) < cluster.agents.size / 4, "$byKind for ${cluster.agents.size} machines")
         assertTrue(writes < 110 * 40, "$writes writes in 110 s")
         assertTrue(cluster.state.requests < 110 * 100, "${cluster.state.requests} requests in 110 s")
         assertTrue(cluster.state.bytesWritten < 25_000L * jobs, "${cluster.state.bytesWritten} bytes")
@@ -96,31 +96,31 @@
         (1..services).forEach { n ->
             val spec =
                 SampleJobs.service(n, team = "blue", tasks = 4, cpus = 2.0)
-            cluster.after(n * 15 * SECOND / services) { cluster.user(spec, null) }
+            cluster.after(n * 15 * SECOND / services) { cluster.addUser(spec, null) }
         }
         (1..4).forEach { round ->
             (1..machines / 60).forEach { n ->
                 val spec = SampleJobs.spec("req-%06d".format(round * 1000 + n), team = "blue", tasks = 70, cpus = 4.0, estimateS = 18.0)
-                cluster.after((round * 20L - 15) * SECOND + n * SECOND / 5) { cluster.user(spec, null) }
+                cluster.after((round * 20L - 15) * SECOND + n * SECOND / 5) { cluster.addUser(spec, null) }
             }
         }
         val machineCounts = ArrayList<Int>()
         listOf(45L, 60L).forEach { at ->
             cluster.after(at * SECOND) {
-                machineCounts += cluster.workers.size
-                cluster.workers.keys
+                machineCounts += cluster.agents.size
+                cluster.agents.keys
                     .filterIndexed { i, _ -> i % 8 == 0 }
                     .forEach(cluster::remove)
             }
         }
-        cluster.after(75 * SECOND) { cluster.zoneOut = "south" }
-        cluster.after(100 * SECOND) { cluster.zoneOut = null }
+        cluster.after(75 * SECOND) { cluster.isolatedZone = "south" }
+        cluster.after(100 * SECOND) { cluster.isolatedZone = null }
         cluster.after(115 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } }
         cluster.run(140 * SECOND)
         cluster.assertRulesHeld()
         val runningReplicas =
             (1..services).sumOf { n ->
-                cluster.workers.values.sumOf { w -> cluster.rules.attemptsOn(w.id).count { it.startsWith("req-%06d/".format(n)) } }
+                cluster.agents.values.sumOf { w -> cluster.rules.tasksOn(w.id).count { it.startsWith("req-%06d/".format(n)) } }
             }
         assertTrue(runningReplicas >= services * 4 * 99 / 100, "$runningReplicas of ${services * 4} replicas are running")
         val starts = cluster.rules.starts.toDouble()
--- a/src/test/kotlin/mintpick/simulation/GuardsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/GuardsTest.kt
@@ -50,17 +50,17 @@
     /** A cluster in steady state whose only jobs are six services. */
     private fun steadyClusterWithServices(seed: Long): SimulatedCluster =
         cluster(seed).apply {
-            (1..6).forEach { n -> user(service(n), null) }
+            (1..6).forEach { n -> addUser(service(n), null) }
             warmUp()
         }
 
-    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
+    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = agents.values.maxBy { rules.tasksOn(it.id).size }
 
     /** Jobs whose records assign tasks to [machine]. */
     private fun SimulatedCluster.jobsAssignedTo(machine: SimulatedAgent): Set<String> =
         recordsNaming(machine.id).filterTo(HashSet()) { it.startsWith(Keys.job("")) }
 
-    private fun SimulatedCluster.replayToAllNodes(heartbeat: MachineReport) = nodes.forEach { replay(heartbeat, it) }
+    private fun SimulatedCluster.replayToAllNodes(heartbeat: MachineReport) = nodes.forEach { deliverDuplicate(heartbeat, it) }
 
     /**
      * Runs [check] once for each machine of a warmed-up cluster with a stream of short jobs, each time in a new cluster. Several
@@ -81,14 +81,14 @@
         val startCluster: () -> SimulatedCluster = {
             val cluster = cluster(seed)
             (100..150).forEach { n ->
-                cluster.after(50 * SECOND + (n - 100) * SECOND / 2) { cluster.user(batch(n, estimateS = 4.0), null) }
+                cluster.after(50 * SECOND + (n - 100) * SECOND / 2) { cluster.addUser(batch(n, estimateS = 4.0), null) }
             }
             cluster.warmUp()
         }
-        val machineIds = startCluster().workers.keys.toList()
+        val machineIds = startCluster().agents.keys.toList()
         for (machineId in machineIds) {
             val cluster = startCluster()
-            check(cluster, cluster.workers.getValue(machineId))
+            check(cluster, cluster.agents.getValue(machineId))
         }
         return machineIds.size
     }
@@ -101,13 +101,13 @@
     fun `no new tasks are placed on a machine after a call to it has failed`() {
         var machinesWithLostStart = 0
         forEachMachine(61L..68L) { cluster, machine ->
-            cluster.cloud.out = true
-            machine.deaf = true
+            cluster.cloud.unavailable = true
+            machine.inboundLost = true
             // A call times out after 1.5 s.
             cluster.run(62_500 * MILLI)
             val before = cluster.jobsAssignedTo(machine)
             cluster.run(68 * SECOND)
-            if (machine.missed.any { it.first < 61 * SECOND }) {
+            if (machine.missedStarts.any { it.first < 61 * SECOND }) {
                 machinesWithLostStart++
                 assertEquals(emptySet<String>(), cluster.jobsAssignedTo(machine) - before, machine.id)
             }
@@ -123,12 +123,12 @@
     fun `a machine that receives nothing is released before its lease expires`() {
         var machinesWithEarlyStart = 0
         forEachMachine(61L..72L) { cluster, machine ->
-            machine.deaf = true
+            machine.inboundLost = true
             cluster.run(75 * SECOND)
             // The fault is detectable only after a command is sent: then three calls must fail and an agent's heartbeat must time out.
-            if (machine.missed.any { it.first < 62 * SECOND }) {
+            if (machine.missedStarts.any { it.first < 62 * SECOND }) {
                 machinesWithEarlyStart++
-                assertFalse(machine.id in cluster.workers, machine.id)
+                assertFalse(machine.id in cluster.agents, machine.id)
             }
         }
         assertTrue(machinesWithEarlyStart > 2, "machines that missed a start within 2 s: $machinesWithEarlyStart")
@@ -142,18 +142,18 @@
     fun `tasks of a machine whose lease has expired move although copies of its heartbeat arrive`() {
         val cluster = steadyClusterWithServices(63)
         val hanging = cluster.busiestMachine()
-        val assignedTasks = cluster.rules.attemptsOn(hanging.id)
-        val copy = hanging.report(cluster.now)
+        val assignedTasks = cluster.rules.tasksOn(hanging.id)
+        val copy = hanging.heartbeat(cluster.now)
         cluster.replayToAllNodes(copy)
         hanging.hangingUntilUs = 1000 * SECOND
         // The machine can't be released, so only lease expiry can prove that its tasks have ended.
-        cluster.cloud.out = true
+        cluster.cloud.unavailable = true
         (1..20).forEach { n -> cluster.after(n * 2 * SECOND) { cluster.replayToAllNodes(copy) } }
         cluster.run(92 * SECOND)
         val elsewhere =
-            cluster.workers.values
+            cluster.agents.values
                 .filter { it !== hanging }
-                .flatMap { cluster.rules.attemptsOn(it.id) }
+                .flatMap { cluster.rules.tasksOn(it.id) }
         assertTrue(elsewhere.containsAll(assignedTasks), "all tasks of the machine run elsewhere")
         cluster.assertRulesHeld()
     }
@@ -166,7 +166,7 @@
     fun `copies of heartbeats do not add a terminated machine to the records`() {
         val cluster = steadyClusterWithServices(64)
         val terminated = cluster.busiestMachine()
-        val copies = List(4) { terminated.report(cluster.now) }
+        val copies = List(4) { terminated.heartbeat(cluster.now) }
         cluster.remove(terminated.id)
         cluster.run(90 * SECOND)
         assertEquals(emptySet<String>(), cluster.recordsNaming(terminated.id))
@@ -187,16 +187,16 @@
         val cluster = steadyClusterWithServices(65)
         val machine = cluster.busiestMachine()
         machine.noticeUs = cluster.now + 20 * SECOND
-        val copy = machine.report(cluster.now)
+        val copy = machine.heartbeat(cluster.now)
         machine.noticeUs = null
-        val tasksBefore = cluster.rules.attemptsOn(machine.id)
+        val tasksBefore = cluster.rules.tasksOn(machine.id)
         cluster.run(70 * SECOND)
         // While the machine hangs, controllers that have just started have no newer status than the copy.
         cluster.nodes.forEach { it.crash(SECOND / 5) }
         machine.hangingUntilUs = cluster.now + 4 * SECOND
         (1..8).forEach { n -> cluster.after(n * SECOND / 4) { cluster.replayToAllNodes(copy) } }
         cluster.run(100 * SECOND)
-        assertTrue(cluster.rules.attemptsOn(machine.id).containsAll(tasksBefore))
+        assertTrue(cluster.rules.tasksOn(machine.id).containsAll(tasksBefore))
     }
 
     /**
@@ -207,14 +207,14 @@
     fun `copies of heartbeats cause no calls to a terminated machine`() {
         val cluster = steadyClusterWithServices(66)
         val terminated = cluster.busiestMachine()
-        val copies = List(15) { terminated.report(cluster.now) }
+        val copies = List(15) { terminated.heartbeat(cluster.now) }
         cluster.remove(terminated.id)
         cluster.run(90 * SECOND)
-        val callsBefore = cluster.callsTo[terminated.address]
+        val callsBefore = cluster.callsByAddress[terminated.address]
         // To one controller after the other: a copy that reaches the machine's controller keeps the others from calling the machine.
-        copies.forEachIndexed { i, copy -> cluster.after(i * 2 * SECOND) { cluster.replay(copy, cluster.nodes[i / 5]) } }
+        copies.forEachIndexed { i, copy -> cluster.after(i * 2 * SECOND) { cluster.deliverDuplicate(copy, cluster.nodes[i / 5]) } }
         cluster.run(125 * SECOND)
-        assertEquals(callsBefore, cluster.callsTo[terminated.address])
+        assertEquals(callsBefore, cluster.callsByAddress[terminated.address])
     }
 
     /**
@@ -225,12 +225,12 @@
     fun `copies of heartbeats cause no takeover of a machine`() {
         val cluster = steadyClusterWithServices(67)
         val hanging = cluster.busiestMachine()
-        val copies = List(15) { hanging.report(cluster.now) }
+        val copies = List(15) { hanging.heartbeat(cluster.now) }
         hanging.hangingUntilUs = 1000 * SECOND
-        cluster.cloud.out = true
+        cluster.cloud.unavailable = true
         cluster.run(70 * SECOND)
         val before = cluster.claimsFor(hanging)
-        copies.forEachIndexed { i, copy -> cluster.after(i * 2 * SECOND) { cluster.replay(copy, cluster.nodes[i / 5]) } }
+        copies.forEachIndexed { i, copy -> cluster.after(i * 2 * SECOND) { cluster.deliverDuplicate(copy, cluster.nodes[i / 5]) } }
         cluster.run(105 * SECOND)
         assertEquals(before, cluster.claimsFor(hanging))
     }
@@ -245,22 +245,22 @@
     @Test
     fun `a process that restarts at once uses new names for its rental requests`() {
         val cluster = cluster(68)
-        cluster.user(batch(1, tasks = 30), null)
+        cluster.addUser(batch(1, tasks = 30), null)
         cluster.run(20 * SECOND)
         cluster.nodes.forEach { it.crash(SECOND / 10) }
-        cluster.after(2 * SECOND) { cluster.user(batch(2, tasks = 60), null) }
+        cluster.after(2 * SECOND) { cluster.addUser(batch(2, tasks = 60), null) }
         cluster.run(50 * SECOND)
         assertTrue(
-            cluster.cloud.requestNames.values
+            cluster.cloud.incarnationsByRequest.values
                 .flatten()
                 .distinct()
                 .size > 1,
-            "requests of more than one process: ${cluster.cloud.requestNames}",
+            "requests of more than one process: ${cluster.cloud.incarnationsByRequest}",
         )
         assertTrue(
-            cluster.cloud.requestNames.values
+            cluster.cloud.incarnationsByRequest.values
                 .all { it.size == 1 },
-            "each process uses one set of names: ${cluster.cloud.requestNames}",
+            "each process uses one set of names: ${cluster.cloud.incarnationsByRequest}",
         )
     }
 
@@ -271,13 +271,13 @@
     @Test
     fun `a job that is cancelled while its start is lost reaches its final stage`() {
         val cluster = cluster(69)
-        (1..3).forEach { n -> cluster.user(batch(n, estimateS = 300.0), null) }
+        (1..3).forEach { n -> cluster.addUser(batch(n, estimateS = 300.0), null) }
         cluster.warmUp()
-        cluster.workers.values.forEach { it.deaf = true }
-        cluster.user(batch(9), 1500 * MILLI)
-        cluster.after(2 * SECOND) { cluster.workers.values.forEach { it.deaf = false } }
+        cluster.agents.values.forEach { it.inboundLost = true }
+        cluster.addUser(batch(9), 1500 * MILLI)
+        cluster.after(2 * SECOND) { cluster.agents.values.forEach { it.inboundLost = false } }
         cluster.run(100 * SECOND)
-        assertTrue(cluster.workers.values.any { worker -> worker.missed.any { "req-000009" in it.second } }, "the start was lost")
+        assertTrue(cluster.agents.values.any { worker -> worker.missedStarts.any { "req-000009" in it.second } }, "the start was lost")
         val record =
             cluster.state
                 .keys()
@@ -290,7 +290,7 @@
     @Test
     fun `300 simultaneous polls cause fewer than 12 extra requests to the state store`() {
         val cluster = cluster(70)
-        (1..10).forEach { n -> cluster.user(service(n), null) }
+        (1..10).forEach { n -> cluster.addUser(service(n), null) }
         cluster.warmUp()
         val idleRequests = cluster.requestsDuring(2 * SECOND) {}
         val answers = ArrayList<Answer>()
@@ -321,7 +321,7 @@
     @Test
     fun `excess submissions are refused immediately and delay no polls`() {
         val cluster = cluster(71)
-        cluster.user(service(1), null)
+        cluster.addUser(service(1), null)
         cluster.warmUp()
         val node = cluster.nodes[0]
         val answers = ArrayList<Answer>()
@@ -341,10 +341,10 @@
     @Test
     fun `no job is lost when all controllers restart at once with 600 jobs to load`() {
         val cluster = cluster(72)
-        (1..600).forEach { n -> cluster.after(n * SECOND / 12) { cluster.user(batch(n, estimateS = 1.0), null) } }
+        (1..600).forEach { n -> cluster.after(n * SECOND / 12) { cluster.addUser(batch(n, estimateS = 1.0), null) } }
         cluster.run(120 * SECOND)
         repeat(3) { i -> cluster.after(i * 2 * SECOND) { cluster.nodes.forEach { it.crash(SECOND / 3) } } }
-        cluster.after(5 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
+        cluster.after(5 * SECOND) { cluster.rules.faultsOverAtUs = cluster.now }
         cluster.run(205 * SECOND)
         cluster.assertRulesHeld()
         assertEquals(600, (1..600).count { cluster.rules.isFinal("req-%06d".format(it)) })
--- a/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/HeartbeatFaultCombinationsTest.kt
@@ -11,7 +11,7 @@
 import mintpick.testing.SampleJobs
 import mintpick.testing.SimulatedAgent
 import mintpick.testing.SimulatedCluster
-import mintpick.testing.listed
+import mintpick.testing.listedRecord
 import mintpick.testing.shardOf
 import mintpick.wire.Change
 import mintpick.wire.ClaimRecord
@@ -53,22 +53,22 @@
     /** A cluster in steady state whose only jobs are six services. */
     private fun steadyClusterWithServices(seed: Long): SimulatedCluster =
         cluster(seed).apply {
-            (1..6).forEach { n -> user(service(n), null) }
+            (1..6).forEach { n -> addUser(service(n), null) }
             run(60 * SECOND)
         }
 
     /** A cluster in steady state with six services and six batch jobs of long tasks. */
     private fun steadyClusterWithLongTasks(seed: Long): SimulatedCluster =
         cluster(seed).apply {
-            (1..6).forEach { n -> user(service(n), null) }
-            (11..16).forEach { n -> user(batch(n, tasks = 3), null) }
+            (1..6).forEach { n -> addUser(service(n), null) }
+            (11..16).forEach { n -> addUser(batch(n, tasks = 3), null) }
             run(60 * SECOND)
         }
 
-    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
+    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = agents.values.maxBy { rules.tasksOn(it.id).size }
 
     private fun SimulatedCluster.machineRunning(job: String): SimulatedAgent? =
-        workers.values.firstOrNull { worker -> rules.attemptsOn(worker.id).any { it.startsWith(job) } }
+        agents.values.firstOrNull { worker -> rules.tasksOn(worker.id).any { it.startsWith(job) } }
 
     private fun SimulatedCluster.record(key: String): String? = state.keys().firstOrNull { it.first == key }?.second
 
@@ -93,7 +93,7 @@
         node: SimulatedCluster.Node = nodes.first { it.engine != null },
     ) {
         rules.cancelRequested(job)
-        val reply = ReplyTo { if (it.status == 200) rules.told(job, JobStage.CANCELLED, now) }
+        val reply = ReplyTo { if (it.status == 200) rules.jobAnswered(job, JobStage.CANCELLED, now) }
         node.deliver(Event.Cancel(JobId(job), reply))
     }
 
@@ -111,25 +111,25 @@
         (112L..123L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, ClusterSize(machines = 1))
-                cluster.user(batch(1), null)
+                cluster.addUser(batch(1), null)
                 cluster.run(60 * SECOND)
-                val machine = cluster.workers.values.single()
+                val machine = cluster.agents.values.single()
                 val tokens = ArrayList<Long>()
                 // Cancelling another job on the machine causes a second call to it after the first has timed out. Until then the
                 // agent's heartbeats reach no controller, because the answer to a heartbeat would contain the start.
-                cluster.messageDelays.holdUs = { _, _, batch ->
+                cluster.messageDelays.commandDelayUs = { _, _, batch ->
                     if (containsStartOf(batch.commands, id(2))) tokens += batch.token
-                    val isFirstStart = tokens.size == 1 && cluster.messageDelays.held.isEmpty()
+                    val isFirstStart = tokens.size == 1 && cluster.messageDelays.delayedCommands.isEmpty()
                     if (isFirstStart) cluster.cancel(id(1))
-                    machine.mute = tokens.size == 1
+                    machine.heartbeatsLost = tokens.size == 1
                     if (isFirstStart) 60 * SECOND else null
                 }
-                cluster.user(batch(2), null)
+                cluster.addUser(batch(2), null)
                 cluster.runFor(10)
-                val delayedBatch = cluster.messageDelays.held.single()
+                val delayedBatch = cluster.messageDelays.delayedCommands.single()
                 assertEquals(tokens[0], tokens[1], "the start is repeated with the same token")
                 assertEquals(null, delayedBatch.status, "the first start has not arrived yet")
-                assertEquals(setOf("${id(2)}/0"), cluster.rules.attemptsOn(machine.id), "the repeated start was executed")
+                assertEquals(setOf("${id(2)}/0"), cluster.rules.tasksOn(machine.id), "the repeated start was executed")
                 cluster.cancel(id(2))
                 cluster.runFor(80)
                 assertEquals(409, delayedBatch.status, "the delayed start arrived and was refused")
@@ -145,19 +145,19 @@
     @Test
     fun `a delayed start of a crashed leader is refused after its borrowing has expired`() {
         val cluster = cluster(102)
-        (1..6).forEach { n -> cluster.user(service(n), null) }
+        (1..6).forEach { n -> cluster.addUser(service(n), null) }
         cluster.run(60 * SECOND)
         val leader = cluster.leader()
         // The leader's status of each machine is older than the jobs that follow.
-        cluster.workers.values.forEach { cluster.replay(it.report(cluster.now), leader) }
-        (11..18).forEach { n -> cluster.user(batch(n), null) }
+        cluster.agents.values.forEach { cluster.deliverDuplicate(it.heartbeat(cluster.now), leader) }
+        (11..18).forEach { n -> cluster.addUser(batch(n), null) }
         cluster.runFor(8)
         val job = (11..18).map(::id).first { job -> cluster.machineRunning(job)?.let { cluster.owner(it) !== leader } ?: false }
         val machine = requireNotNull(cluster.machineRunning(job))
-        cluster.messageDelays.holdUs = { from, to, _ -> if (from === leader && to === machine) 70 * SECOND else null }
+        cluster.messageDelays.commandDelayUs = { from, to, _ -> if (from === leader && to === machine) 70 * SECOND else null }
         cluster.borrow(machine, leader)
         cluster.runFor(1)
-        val delayedBatch = cluster.messageDelays.held.first { containsStartOf(it.batch.commands, job) }
+        val delayedBatch = cluster.messageDelays.delayedCommands.first { containsStartOf(it.batch.commands, job) }
         leader.crash(200 * SECOND)
         cluster.runFor(9)
         assertEquals(null, cluster.claim(Keys.borrow(machine.id)), "the borrowing has expired")
@@ -192,20 +192,20 @@
         val machine = busiestMachine()
         machine.hangingUntilUs = now + 12 * SECOND
         // The machine can't be released, so only its agent's status can prove that its tasks have ended.
-        cloud.out = true
-        replay(machine.report(now).copy(noticeS = 60.0), owner(machine))
+        cloud.unavailable = true
+        deliverDuplicate(machine.heartbeat(now).copy(noticeS = 60.0), owner(machine))
         runFor(1)
-        assertEquals(Retiring.DRAIN, listed(machine.id)?.retiring)
+        assertEquals(Retiring.DRAIN, listedRecord(machine.id)?.retiring)
         return machine
     }
 
     private fun SimulatedCluster.assertTasksKeptUntilNextStatus(machine: SimulatedAgent) {
-        val assignedTasks = rules.attemptsOn(machine.id)
+        val assignedTasks = rules.tasksOn(machine.id)
         assertTrue(assignedTasks.isNotEmpty())
         run(machine.hangingUntilUs - SECOND)
-        assertEquals(assignedTasks, rules.attemptsOn(machine.id), "no task may move before the agent has sent a new status")
+        assertEquals(assignedTasks, rules.tasksOn(machine.id), "no task may move before the agent has sent a new status")
         runFor(30)
-        val elsewhere = workers.values.filter { it !== machine }.flatMap { rules.attemptsOn(it.id) }
+        val elsewhere = agents.values.filter { it !== machine }.flatMap { rules.tasksOn(it.id) }
         assertTrue(elsewhere.containsAll(assignedTasks), "all tasks have moved to other machines")
         assertNoBreach()
     }
@@ -220,13 +220,13 @@
             DynamicTest.dynamicTest(name) {
                 val cluster = steadyClusterWithServices(103)
                 if (name == "earlier session") {
-                    cluster.workers.values.forEach { it.mute = true }
+                    cluster.agents.values.forEach { it.heartbeatsLost = true }
                     cluster.runFor(20)
-                    cluster.workers.values.forEach { it.mute = false }
+                    cluster.agents.values.forEach { it.heartbeatsLost = false }
                     cluster.runFor(10)
                 }
-                val agentEpoch = cluster.busiestMachine().session
-                val oldHeartbeat = cluster.busiestMachine().report(cluster.now).copy(tasks = emptyList())
+                val agentEpoch = cluster.busiestMachine().agentEpoch
+                val oldHeartbeat = cluster.busiestMachine().heartbeat(cluster.now).copy(tasks = emptyList())
                 val machine = cluster.drainHangingMachine()
                 assertEquals(oldHeartbeat.machine, machine.id)
                 val isFromEarlierEpoch = name == "earlier session"
@@ -240,7 +240,7 @@
                         oldHeartbeat
                     }
                 assertTrue(copy.agentEpoch >= 1)
-                (0L..4L).forEach { at -> cluster.after(at * SECOND) { cluster.nodes.forEach { cluster.replay(copy, it) } } }
+                (0L..4L).forEach { at -> cluster.after(at * SECOND) { cluster.nodes.forEach { cluster.deliverDuplicate(copy, it) } } }
                 cluster.assertTasksKeptUntilNextStatus(machine)
             }
         }
@@ -249,13 +249,13 @@
     @Test
     fun `a delayed heartbeat that is the first one a new leader receives proves nothing`() {
         val cluster = steadyClusterWithServices(104)
-        cluster.messageDelays.keep(cluster.busiestMachine().report(cluster.now).copy(tasks = emptyList()))
+        cluster.messageDelays.keepForReplay(cluster.busiestMachine().heartbeat(cluster.now).copy(tasks = emptyList()))
         val machine = cluster.drainHangingMachine()
         val oldClaim = cluster.claim(Keys.LEADER)
         cluster.nodes.forEach { it.crash(SECOND / 5) }
         cluster.runFor(6)
         assertTrue(cluster.claim(Keys.LEADER) != oldClaim, "a new process is the leader")
-        assertEquals(1 to 1, cluster.messageDelays.leadersReached to cluster.messageDelays.copiesDelivered)
+        assertEquals(1 to 1, cluster.messageDelays.leadersWithReplays to cluster.messageDelays.replayedHeartbeats)
         cluster.assertTasksKeptUntilNextStatus(machine)
     }
 
@@ -265,20 +265,20 @@
         listOf(8L to false, 8L to true, 30L to false, 30L to true).map { (span, deaf) ->
             DynamicTest.dynamicTest("$span s ${if (deaf) "deaf" else "hanging"}") {
                 val cluster = steadyClusterWithLongTasks(105)
-                val unreachable = cluster.workers.values.filterIndexed { i, _ -> i % 2 == 0 }
-                assertTrue(unreachable.any { cluster.rules.attemptsOn(it.id).isNotEmpty() })
-                unreachable.forEach { if (deaf) it.deaf = true else it.hangingUntilUs = cluster.now + span * SECOND }
+                val unreachable = cluster.agents.values.filterIndexed { i, _ -> i % 2 == 0 }
+                assertTrue(unreachable.any { cluster.rules.tasksOn(it.id).isNotEmpty() })
+                unreachable.forEach { if (deaf) it.inboundLost = true else it.hangingUntilUs = cluster.now + span * SECOND }
                 // The machines can't be released, so only lease expiry can prove that their tasks have ended.
-                cluster.cloud.out = true
+                cluster.cloud.unavailable = true
                 val oldLeader = cluster.leader()
                 val oldClaim = cluster.claim(Keys.LEADER)
                 cluster.after(SECOND) { oldLeader.crash(SECOND / 2) }
                 cluster.runFor(span)
-                unreachable.forEach { it.deaf = false }
-                cluster.cloud.out = false
+                unreachable.forEach { it.inboundLost = false }
+                cluster.cloud.unavailable = false
                 assertTrue(cluster.claim(Keys.LEADER) != oldClaim, "the leader has changed")
                 cluster.runFor(100)
-                val running = cluster.workers.keys.sumOf { cluster.rules.attemptsOn(it).size }
+                val running = cluster.agents.keys.sumOf { cluster.rules.tasksOn(it).size }
                 assertEquals(12 + 18, running)
                 cluster.assertNoBreach()
             }
@@ -294,16 +294,16 @@
         listOf("north", "south", "everywhere").map { zone ->
             DynamicTest.dynamicTest(zone) {
                 val cluster = steadyClusterWithLongTasks(106)
-                val affected = cluster.workers.values.filter { it.zone == zone || zone == "everywhere" }
-                assertTrue(affected.any { cluster.rules.attemptsOn(it.id).isNotEmpty() })
-                affected.forEach { it.mute = true }
+                val affected = cluster.agents.values.filter { it.zone == zone || zone == "everywhere" }
+                assertTrue(affected.any { cluster.rules.tasksOn(it.id).isNotEmpty() })
+                affected.forEach { it.heartbeatsLost = true }
                 cluster.runFor(10)
-                val job = (1..16).map(::id).first { job -> cluster.machineRunning(job)?.mute ?: false }
+                val job = (1..16).map(::id).first { job -> cluster.machineRunning(job)?.heartbeatsLost ?: false }
                 cluster.cancel(job)
                 cluster.runFor(3)
                 assertEquals(null, cluster.machineRunning(job), "the cancelled job was stopped by a direct command")
                 cluster.runFor(30)
-                assertTrue(affected.any { it.session > 2 }, "leases have expired at least twice")
+                assertTrue(affected.any { it.agentEpoch > 2 }, "leases have expired at least twice")
                 val services = (1..6).map(::id) - job
                 val absent = services.filter { cluster.machineRunning(it) == null }
                 assertEquals(emptyList<String>(), absent, "services were started again by direct commands")
@@ -311,7 +311,7 @@
                 cluster.leader().crash(4 * SECOND)
                 cluster.runFor(40)
                 assertTrue(cluster.claim(Keys.LEADER) != oldClaim, "a new process is the leader")
-                affected.forEach { it.mute = false }
+                affected.forEach { it.heartbeatsLost = false }
                 cluster.runFor(60)
                 assertEquals(emptyList<String>(), services.filter { cluster.machineRunning(it) == null })
                 cluster.assertNoBreach()
@@ -326,19 +326,19 @@
     fun `all rules hold while messages are delayed and the leader changes`() =
         (111L..116L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val cluster = cluster(seed, faultRates = FaultRates(copied = 150, lostAnswer = 4))
-                cluster.messageDelays.lateCommands = 200
-                cluster.messageDelays.keptForNext = 100
-                (1..6).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
+                val cluster = cluster(seed, faultRates = FaultRates(duplicated = 150, lostAnswer = 4))
+                cluster.messageDelays.delayedCommandRate = 200
+                cluster.messageDelays.replayRate = 100
+                (1..6).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(service(n), null) } }
                 (11..60).forEach { n ->
                     val cancelAfter = if (n % 4 == 0) cluster.random.nextLong(15 * SECOND) else null
                     val spec = batch(n, tasks = 1 + cluster.random.nextInt(4), estimateS = 3.0 + cluster.random.nextInt(30))
-                    cluster.after(20 * SECOND + cluster.random.nextLong(90 * SECOND)) { cluster.user(spec, cancelAfter) }
+                    cluster.after(20 * SECOND + cluster.random.nextLong(90 * SECOND)) { cluster.addUser(spec, cancelAfter) }
                 }
                 repeat(5) { cluster.after((35L + it * 18) * SECOND) { cluster.injectFault() } }
                 cluster.run(260 * SECOND)
-                assertTrue(cluster.messageDelays.leadersReached > 0, "copies of heartbeats reached a new leader")
-                val statuses = cluster.messageDelays.held.mapNotNullTo(HashSet()) { it.status }
+                assertTrue(cluster.messageDelays.leadersWithReplays > 0, "copies of heartbeats reached a new leader")
+                val statuses = cluster.messageDelays.delayedCommands.mapNotNullTo(HashSet()) { it.status }
                 assertEquals(setOf(200, 409), statuses, "some late commands were executed and some refused")
                 cluster.assertNoBreach()
             }
@@ -346,17 +346,17 @@
 
     private fun SimulatedCluster.injectFault() {
         leader().crash(random.nextLong(8 * SECOND))
-        val affected = workers.values.filter { random.nextInt(4) == 0 }
+        val affected = agents.values.filter { random.nextInt(4) == 0 }
         val span = 3 * SECOND + random.nextLong(30 * SECOND)
         when (random.nextInt(3)) {
-            0 -> affected.forEach { it.mute = true }
-            1 -> affected.forEach { it.deaf = true }
+            0 -> affected.forEach { it.heartbeatsLost = true }
+            1 -> affected.forEach { it.inboundLost = true }
             else -> affected.forEach { it.hangingUntilUs = now + span / 2 + 500 * MILLI }
         }
         after(span) {
             affected.forEach {
-                it.mute = false
-                it.deaf = false
+                it.heartbeatsLost = false
+                it.inboundLost = false
             }
         }
     }
--- a/src/test/kotlin/mintpick/simulation/LeadershipFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/LeadershipFaultCombinationsTest.kt
@@ -11,12 +11,12 @@
 import mintpick.testing.SampleJobs
 import mintpick.testing.SimulatedCluster
 import mintpick.testing.WaitingJobRule
-import mintpick.testing.checkRecord
-import mintpick.testing.claimsOf
+import mintpick.testing.checkDoneCount
+import mintpick.testing.claimedShardCount
 import mintpick.testing.leader
-import mintpick.testing.leadership
-import mintpick.testing.shardsInUse
-import mintpick.testing.unwritten
+import mintpick.testing.leaderClaim
+import mintpick.testing.occupiedShardCount
+import mintpick.testing.unrecordedCompletions
 import mintpick.wire.ClaimRecord
 import mintpick.wire.JobKind
 import mintpick.wire.JobSpec
@@ -80,7 +80,7 @@
 
     /** Continues for [span] after the last fault. All rules must hold, also those that no job or request is left waiting. */
     private fun SimulatedCluster.assertRecovers(span: Micros = 130 * SECOND) {
-        rules.faultsOverSinceUs = now
+        rules.faultsOverAtUs = now
         WaitingJobRule(this, nodes[0].settings.teams.associate { it.name to it.cpusMax }).watch()
         run(now + span)
         assertEquals(emptyList<String>(), rules.breaches.distinct().take(5))
@@ -91,10 +91,10 @@
         seed: Long,
         machines: Int,
     ): SimulatedCluster =
-        cluster(seed, size = ClusterSize(machines = machines, spot = 0)).apply {
-            (1..machines).forEach { n -> user(batch(n, cpus = 10.0, estimateS = 900.0), null) }
+        cluster(seed, size = ClusterSize(machines = machines, spotMachines = 0)).apply {
+            (1..machines).forEach { n -> addUser(batch(n, cpus = 10.0, estimateS = 900.0), null) }
             run(60 * SECOND)
-            assertEquals(machines, workers.values.count { rules.attemptsOn(it.id).size == 1 && it.type == "large" })
+            assertEquals(machines, agents.values.count { rules.tasksOn(it.id).size == 1 && it.type == "large" })
         }
 
     private fun gang(
@@ -110,7 +110,7 @@
     fun `a gang that needs more machines than one transaction can borrow is placed`() {
         val cluster = partlyFilledCluster(201, 9)
         val gang = gang(20, 9)
-        cluster.user(gang, null)
+        cluster.addUser(gang, null)
         cluster.assertRecovers(100 * SECOND)
         assertTrue(cluster.isRunning(gang))
     }
@@ -123,20 +123,20 @@
     fun `a leader that was partitioned from its agents borrows machines again afterwards`() {
         val cluster = partlyFilledCluster(203, 14)
         // The controller whose shards contain the most machines must be the leader.
-        val partitioned = cluster.nodes.maxBy { cluster.shardsInUse(it) }
+        val partitioned = cluster.nodes.maxBy { cluster.occupiedShardCount(it) }
         if (cluster.leader() !== partitioned) cluster.nodes.filter { it !== partitioned }.forEach { it.crash(8 * SECOND) }
         cluster.run(140 * SECOND)
         assertEquals(partitioned, cluster.leader())
-        assertTrue(cluster.shardsInUse(partitioned) > 3, "the leader owns more than three shards with machines")
-        partitioned.cutFromWorkers = true
+        assertTrue(cluster.occupiedShardCount(partitioned) > 3, "the leader owns more than three shards with machines")
+        partitioned.cutFromAgents = true
         cluster.run(210 * SECOND)
-        val takenOver = cluster.state.keys().count { it.first.startsWith(Keys.borrow("")) } + 8 - cluster.claimsOf(partitioned)
+        val takenOver = cluster.state.keys().count { it.first.startsWith(Keys.borrow("")) } + 8 - cluster.claimedShardCount(partitioned)
         assertTrue(takenOver > 2, "shards and machines taken over by others: $takenOver")
         assertEquals(partitioned, cluster.leader())
-        partitioned.cutFromWorkers = false
+        partitioned.cutFromAgents = false
         cluster.run(230 * SECOND)
         val gang = gang(20, 14)
-        cluster.user(gang, null)
+        cluster.addUser(gang, null)
         cluster.assertRecovers(100 * SECOND)
         assertTrue(cluster.isRunning(gang))
     }
@@ -150,18 +150,18 @@
         (211L..214L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed, size = ClusterSize(machines = 24))
-                (1..4).forEach { n -> cluster.user(service(n, tasks = 4, spread = true), null) }
-                (5..8).forEach { n -> cluster.user(batch(n, 4, 300.0, cpus = 2.0, oneZone = true), null) }
-                (9..10).forEach { n -> cluster.user(batch(n, 3, 300.0, cpus = 2.0, zone = "south"), null) }
+                (1..4).forEach { n -> cluster.addUser(service(n, tasks = 4, spread = true), null) }
+                (5..8).forEach { n -> cluster.addUser(batch(n, 4, 300.0, cpus = 2.0, oneZone = true), null) }
+                (9..10).forEach { n -> cluster.addUser(batch(n, 3, 300.0, cpus = 2.0, zone = "south"), null) }
                 cluster.run(50 * SECOND)
-                val south = cluster.workers.values.filter { it.zone == "south" }
+                val south = cluster.agents.values.filter { it.zone == "south" }
                 val lost = south.filterIndexed { i, _ -> i % 2 == 0 }.map { it.id }
-                assertTrue(lost.sumOf { cluster.rules.attemptsOn(it).size } > 2, "tasks ran on the lost machines")
-                cluster.zoneOut = "south"
+                assertTrue(lost.sumOf { cluster.rules.tasksOn(it).size } > 2, "tasks ran on the lost machines")
+                cluster.isolatedZone = "south"
                 if (seed % 2 == 0L) cluster.after(10 * SECOND) { lost.forEach(cluster::remove) }
                 if (seed > 212) cluster.after(12 * SECOND) { cluster.nodes[0].crash(SECOND / 2) }
                 cluster.run(50 * SECOND + 25 * SECOND + (seed - 210) * 10 * SECOND)
-                cluster.zoneOut = null
+                cluster.isolatedZone = null
                 lost.forEach(cluster::remove)
                 cluster.assertRecovers()
                 (1..10).forEach { n -> assertTrue(cluster.isRunning(n), id(n)) }
@@ -178,17 +178,17 @@
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster = cluster(seed)
                 val leaders = LinkedHashSet<ClaimRecord>()
-                cluster.repeatEvery(100 * MILLI) { cluster.leadership()?.let(leaders::add) }
-                (1..4).forEach { n -> cluster.user(service(n), null) }
+                cluster.repeatEvery(100 * MILLI) { cluster.leaderClaim()?.let(leaders::add) }
+                (1..4).forEach { n -> cluster.addUser(service(n), null) }
                 (5..40).forEach { n ->
                     val cancelAfter = if (n % 4 == 0) 6 * SECOND else null
-                    cluster.after(n * 3 * SECOND) { cluster.user(batch(n, 2, 20.0, cpus = 2.0), cancelAfter) }
+                    cluster.after(n * 3 * SECOND) { cluster.addUser(batch(n, 2, 20.0, cpus = 2.0), cancelAfter) }
                 }
                 cluster.run(30 * SECOND)
                 val changesBefore = leaders.size
                 (0..11).forEach { n -> cluster.after(n * 10 * SECOND) { cluster.changeLeader(n) } }
-                cluster.after(61 * SECOND) { cluster.state.out = true }
-                cluster.after(75 * SECOND) { cluster.state.out = false }
+                cluster.after(61 * SECOND) { cluster.state.unavailable = true }
+                cluster.after(75 * SECOND) { cluster.state.unavailable = false }
                 cluster.run(150 * SECOND)
                 assertTrue(leaders.size - changesBefore >= 10, "leader changes: ${leaders.size - changesBefore}")
                 cluster.assertRecovers()
@@ -196,7 +196,7 @@
         }
 
     private fun SimulatedCluster.changeLeader(n: Int) {
-        val leader = leadership()?.let { leader() } ?: nodes[n % 3]
+        val leader = leaderClaim()?.let { leader() } ?: nodes[n % 3]
         if (n % 3 == 0) {
             leader.cutFromState = true
             after(8 * SECOND) { leader.cutFromState = false }
@@ -211,15 +211,15 @@
      */
     @Test
     fun `services run first and waiting jobs are placed when an overloaded cluster has slow links`() {
-        val cluster = cluster(231, size = ClusterSize(machines = 14, spot = 8))
+        val cluster = cluster(231, size = ClusterSize(machines = 14, spotMachines = 8))
         cluster.linkDelay = { _, call ->
             val isSlowTarget = call.target is Target.State || call.target is Target.Worker
             if (isSlowTarget && cluster.now in 20 * SECOND..140 * SECOND) 200 * MILLI + cluster.random.nextLong(600 * MILLI) else 0
         }
-        (1..50).forEach { n -> cluster.after(n * SECOND) { cluster.user(batch(n, 8, 20.0, cpus = 2.0), null) } }
-        (51..60).forEach { n -> cluster.after(n * SECOND) { cluster.user(service(n), null) } }
+        (1..50).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(batch(n, 8, 20.0, cpus = 2.0), null) } }
+        (51..60).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(service(n), null) } }
         cluster.run(75 * SECOND)
-        val waiting = cluster.rules.wanted().sumOf { it.tasks } - cluster.rules.running.size
+        val waiting = cluster.rules.runnableJobs().sumOf { it.tasks } - cluster.rules.running.size
         assertTrue(waiting > 100, "tasks not running: $waiting")
         cluster.run(120 * SECOND)
         (51..60).forEach { n -> assertTrue(cluster.isRunning(n), "service ${id(n)}") }
@@ -236,31 +236,31 @@
                 val teams = listOf("red", "blue")
                 (1..36).forEach { n ->
                     val cancelAfter = if (n % 3 == 0) 60 * SECOND else null
-                    cluster.user(batch(n, 2, 200.0, cpus = 2.0, team = teams[n % 2]), cancelAfter)
+                    cluster.addUser(batch(n, 2, 200.0, cpus = 2.0, team = teams[n % 2]), cancelAfter)
                 }
                 cluster.run(59 * SECOND)
                 assertEquals(listOf(24.0, BLUE_CPU_LIMIT), teams.map { cluster.cpusUsedBy(it) }, "both teams are at their limit")
-                if (seed % 2 == 0L) cluster.cloud.out = true
-                if (seed % 3 == 0L) cluster.zonesCut = true
+                if (seed % 2 == 0L) cluster.cloud.unavailable = true
+                if (seed % 3 == 0L) cluster.zonesPartitioned = true
                 // At least one hanging machine must run a task that is about to be cancelled.
                 val taskToCancel =
                     cluster.rules.running.keys
                         .first { it.substringBefore('/').takeLast(6).toInt() % 3 == 0 }
-                cluster.workers.values.forEach {
-                    if (cluster.random.nextInt(3) > 0 || taskToCancel in cluster.rules.attemptsOn(it.id)) {
+                cluster.agents.values.forEach {
+                    if (cluster.random.nextInt(3) > 0 || taskToCancel in cluster.rules.tasksOn(it.id)) {
                         it.hangingUntilUs = 105 * SECOND
                     }
                 }
-                val oldLeadership = cluster.leadership()
+                val oldLeadership = cluster.leaderClaim()
                 val downtime = SECOND * (seed % 4) + SECOND / 4
                 cluster.after(500 * MILLI + cluster.random.nextLong(3 * SECOND)) { cluster.leader().crash(downtime) }
                 cluster.run(63 * SECOND)
                 val runningAfterCancel = cluster.rules.running.filterKeys { cluster.rules.isFinal(it.substringBefore('/')) }
                 assertTrue(runningAfterCancel.isNotEmpty(), "cancelled tasks still run on unresponsive machines")
                 cluster.run(105 * SECOND)
-                cluster.zonesCut = false
-                cluster.cloud.out = false
-                assertNotEquals(oldLeadership, cluster.leadership())
+                cluster.zonesPartitioned = false
+                cluster.cloud.unavailable = false
+                assertNotEquals(oldLeadership, cluster.leaderClaim())
                 cluster.assertRecovers()
                 assertEquals(listOf(24.0, BLUE_CPU_LIMIT), teams.map { cluster.cpusUsedBy(it) }, "both teams are at their limit again")
             }
@@ -276,8 +276,8 @@
     @Test
     fun `open jobs run again and cancelled ones do not after all controllers were down for longer than a lease`() {
         val cluster = cluster(251)
-        (1..6).forEach { n -> cluster.user(service(n), null) }
-        (7..16).forEach { n -> cluster.user(batch(n, 3, 300.0), if (n % 3 == 0) 49 * SECOND else null) }
+        (1..6).forEach { n -> cluster.addUser(service(n), null) }
+        (7..16).forEach { n -> cluster.addUser(batch(n, 3, 300.0), if (n % 3 == 0) 49 * SECOND else null) }
         cluster.run(50 * SECOND)
         val running = cluster.rules.running.size
         assertTrue(running > 20, "running tasks: $running")
@@ -302,20 +302,24 @@
                 jobs.forEach { job ->
                     cluster.runTimes["${job.id}/0"] = 40 * SECOND
                     cluster.runTimes["${job.id}/1"] = 65 * SECOND
-                    cluster.user(job, null)
+                    cluster.addUser(job, null)
                 }
                 val doneByJob = HashMap<String, Int>()
-                cluster.repeatEvery(100 * MILLI) { jobs.forEach { cluster.checkRecord(it, doneByJob) } }
-                while (cluster.unwritten(jobs, doneByJob).isEmpty() && cluster.now < 99 * SECOND) cluster.run(cluster.now + STEP)
+                cluster.repeatEvery(100 * MILLI) { jobs.forEach { cluster.checkDoneCount(it, doneByJob) } }
+                while (cluster.unrecordedCompletions(jobs, doneByJob).isEmpty() &&
+                    cluster.now < 99 * SECOND
+                ) {
+                    cluster.run(cluster.now + STEP)
+                }
                 cluster.run(cluster.now + 500 * MILLI)
-                val unwritten = cluster.unwritten(jobs, doneByJob)
-                assertTrue(unwritten.isNotEmpty(), "a completion is not written yet")
-                val reportingMachines = cluster.workers.values.filter { w -> w.report(0).tasks.any { it.task in unwritten } }
+                val unrecordedCompletions = cluster.unrecordedCompletions(jobs, doneByJob)
+                assertTrue(unrecordedCompletions.isNotEmpty(), "a completion is not written yet")
+                val reportingMachines = cluster.agents.values.filter { w -> w.heartbeat(0).tasks.any { it.task in unrecordedCompletions } }
                 cluster.nodes.forEach { it.crash(3 * SECOND) }
                 if (machineGone) reportingMachines.forEach { cluster.remove(it.id) }
                 cluster.run(cluster.now + 4 * SECOND)
                 cluster.assertRecovers(160 * SECOND)
-                val starts = unwritten.map { cluster.rules.startsOf[it] }.toSet()
+                val starts = unrecordedCompletions.map { cluster.rules.startsOf[it] }.toSet()
                 assertEquals(setOf(if (machineGone) 2 else 1), starts)
                 assertTrue(jobs.all { cluster.rules.isFinal(it.id) }, "all jobs are done")
             }
@@ -339,12 +343,12 @@
                     if (isDelayed) cluster.after(delay) { if (from.name != sender) lateArrivals++ }
                     delay
                 }
-                (1..5).forEach { n -> cluster.user(service(n), null) }
+                (1..5).forEach { n -> cluster.addUser(service(n), null) }
                 (6..60).forEach { n ->
                     val at = 50 * SECOND + (n - 6) * SECOND / 4
                     val team = if (n % 2 == 0) "red" else "blue"
                     val cancelAfter = if (n % 4 == 0) 3 * SECOND else null
-                    cluster.after(at) { cluster.user(batch(n, 2, 15.0, team = team), cancelAfter) }
+                    cluster.after(at) { cluster.addUser(batch(n, 2, 15.0, team = team), cancelAfter) }
                 }
                 cluster.run(57 * SECOND)
                 cluster.leader().crash(SECOND / 4)
--- a/src/test/kotlin/mintpick/simulation/ModelTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ModelTest.kt
@@ -8,7 +8,7 @@
 import mintpick.testing.SampleJobs
 import mintpick.testing.SimulatedCluster
 import mintpick.testing.assertRulesHeld
-import mintpick.testing.injectRandom
+import mintpick.testing.injectRandomFault
 import mintpick.testing.leader
 import mintpick.wire.JobKind
 import mintpick.wire.Priority
@@ -45,7 +45,7 @@
                     oneZone = !service && random.nextInt(4) == 0,
                     estimateS = 2.0 + random.nextInt(15),
                 )
-            after(random.nextLong(periodUs)) { user(spec, if (random.nextInt(6) == 0) random.nextLong(30 * SECOND) else null) }
+            after(random.nextLong(periodUs)) { addUser(spec, if (random.nextInt(6) == 0) random.nextLong(30 * SECOND) else null) }
             id
         }
 
@@ -69,14 +69,14 @@
                     9,
                 ) {
                     cluster.after(5 * SECOND + cluster.random.nextLong(100 * SECOND)) {
-                        cluster.injectRandom(
+                        cluster.injectRandomFault(
                             ALL_FAULTS,
                             4 * SECOND,
                             50 * SECOND,
                         )
                     }
                 }
-                cluster.after(20 * SECOND) { cluster.pollUnknown("req-999999") }
+                cluster.after(20 * SECOND) { cluster.pollUnknownJob("req-999999") }
                 cluster.run(240 * SECOND)
                 cluster.assertRulesHeld()
                 assertTrue(cluster.rules.starts > 20, "${cluster.rules.starts} starts")
@@ -87,7 +87,7 @@
     fun `the largest job is accepted, partially placed, and cancelled within the bound`() {
         val cluster = cluster(5, FaultRates())
         val spec = SampleJobs.spec("req-000001", team = "blue", tasks = 100_000, cpus = 1.0, estimateS = 5.0)
-        cluster.after(SECOND) { cluster.user(spec, 60 * SECOND) }
+        cluster.after(SECOND) { cluster.addUser(spec, 60 * SECOND) }
         cluster.run(140 * SECOND)
         cluster.assertRulesHeld()
         assertTrue(cluster.rules.starts > 50, "${cluster.rules.starts} starts")
@@ -104,19 +104,19 @@
         (1..4).forEach { n ->
             val spec =
                 SampleJobs.service(n, spread = true)
-            cluster.after(n * SECOND) { cluster.user(spec, null) }
+            cluster.after(n * SECOND) { cluster.addUser(spec, null) }
         }
         cluster.run(60 * SECOND)
-        val machinesBefore = cluster.workers.keys.toSet()
+        val machinesBefore = cluster.agents.keys.toSet()
         val startsBefore = cluster.rules.starts
-        cluster.zonesCut = true
+        cluster.zonesPartitioned = true
         cluster.run(85 * SECOND)
-        cluster.zonesCut = false
+        cluster.zonesPartitioned = false
         cluster.run(100 * SECOND)
         cluster.assertRulesHeld()
         assertEquals(8, startsBefore)
         assertEquals(startsBefore, cluster.rules.starts, "starts before and after the partition")
-        assertTrue(machinesBefore.isNotEmpty() && cluster.workers.keys.containsAll(machinesBefore))
+        assertTrue(machinesBefore.isNotEmpty() && cluster.agents.keys.containsAll(machinesBefore))
     }
 
     private fun spreadService(n: Int) = SampleJobs.service(n, tasks = 4, spread = true)
@@ -129,18 +129,18 @@
     @Test
     fun `tasks in a zone isolated for longer than a lease keep running`() {
         val cluster = cluster(21, FaultRates())
-        (1..5).forEach { n -> cluster.after(n * SECOND) { cluster.user(spreadService(n), null) } }
+        (1..5).forEach { n -> cluster.after(n * SECOND) { cluster.addUser(spreadService(n), null) } }
         cluster.run(60 * SECOND)
-        val machinesBefore = cluster.workers.keys.toSet()
+        val machinesBefore = cluster.agents.keys.toSet()
         val startsBefore = cluster.rules.starts
-        cluster.zoneOut = "south"
+        cluster.isolatedZone = "south"
         cluster.run(90 * SECOND)
-        cluster.zoneOut = null
+        cluster.isolatedZone = null
         cluster.run(130 * SECOND)
         cluster.assertRulesHeld()
         assertEquals(20, startsBefore)
         assertEquals(startsBefore, cluster.rules.starts, "starts before and after the partition")
-        assertTrue(cluster.workers.keys.containsAll(machinesBefore), "machines were released")
+        assertTrue(cluster.agents.keys.containsAll(machinesBefore), "machines were released")
     }
 
     /**
@@ -153,23 +153,23 @@
         (1..24).forEach { n ->
             val spec =
                 SampleJobs.service(n, team = "blue", tasks = 4, cpus = 4.0)
-            cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
+            cluster.after(n * SECOND / 4) { cluster.addUser(spec, null) }
         }
         cluster.run(60 * SECOND)
         val busyMachines =
-            cluster.workers.values
-                .filter { cluster.rules.attemptsOn(it.id).isNotEmpty() }
+            cluster.agents.values
+                .filter { cluster.rules.tasksOn(it.id).isNotEmpty() }
                 .map { it.id }
         val startsBefore = cluster.rules.starts
         val isolated = cluster.leader()
-        isolated.cutFromWorkers = true
+        isolated.cutFromAgents = true
         cluster.run(110 * SECOND)
-        isolated.cutFromWorkers = false
+        isolated.cutFromAgents = false
         cluster.run(140 * SECOND)
         cluster.assertRulesHeld()
         assertTrue(
-            busyMachines.size > 9 && cluster.workers.keys.containsAll(busyMachines),
-            "${busyMachines.size} machines, ${busyMachines.count { it !in cluster.workers }} released",
+            busyMachines.size > 9 && cluster.agents.keys.containsAll(busyMachines),
+            "${busyMachines.size} machines, ${busyMachines.count { it !in cluster.agents }} released",
         )
         assertEquals(startsBefore, cluster.rules.starts, "starts before and after the partition")
     }
@@ -186,7 +186,7 @@
                 cluster.submitRandomJobs(16, 40 * SECOND)
                 (41..45).forEach { n ->
                     cluster.after(n * SECOND / 4) {
-                        cluster.user(
+                        cluster.addUser(
                             spreadService(n),
                             if (n % 2 ==
                                 0
@@ -199,13 +199,13 @@
                     }
                 }
                 cluster.run(60 * SECOND)
-                if (seed % 2 == 0L) cluster.cloud.out = true
+                if (seed % 2 == 0L) cluster.cloud.unavailable = true
                 // The two controllers in the north receive hints from each other, but from no controller that the state store serves.
-                cluster.zoneOut = if (seed < 36) "south" else "north"
+                cluster.isolatedZone = if (seed < 36) "south" else "north"
                 if (seed % 3 == 0L) cluster.nodes[2].crash(5 * SECOND)
                 if (seed % 4 == 0L) cluster.after(5 * SECOND) { cluster.nodes[1].crash(SECOND / 3) }
-                cluster.after(30 * SECOND + cluster.random.nextLong(70 * SECOND)) { cluster.zoneOut = null }
-                cluster.after(60 * SECOND) { cluster.cloud.out = false }
+                cluster.after(30 * SECOND + cluster.random.nextLong(70 * SECOND)) { cluster.isolatedZone = null }
+                cluster.after(60 * SECOND) { cluster.cloud.unavailable = false }
                 cluster.run(260 * SECOND)
                 cluster.assertRulesHeld()
             }
--- a/src/test/kotlin/mintpick/simulation/ProcessPauseTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ProcessPauseTest.kt
@@ -25,25 +25,25 @@
         pauseS: Long,
     ) {
         val cluster = SimulatedCluster(seed, FaultRates(), ClusterSize()) { SampleJobs.settings(it) }
-        (1..6).forEach { n -> cluster.after(n * SECOND / 2) { cluster.user(SampleJobs.service(n), null) } }
+        (1..6).forEach { n -> cluster.after(n * SECOND / 2) { cluster.addUser(SampleJobs.service(n), null) } }
         (20..60).forEach { n ->
             val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 4, cpus = 1.0, estimateS = 8.0)
-            cluster.after((n - 20) * 3 * SECOND) { cluster.user(spec, if (n % 5 == 0) 6 * SECOND else null) }
+            cluster.after((n - 20) * 3 * SECOND) { cluster.addUser(spec, if (n % 5 == 0) 6 * SECOND else null) }
         }
         cluster.run(50 * SECOND)
-        val serviceMachines = cluster.workers.keys.filterTo(HashSet()) { cluster.rules.attemptsOn(it).any { task -> task < "req-000007" } }
+        val serviceMachines = cluster.agents.keys.filterTo(HashSet()) { cluster.rules.tasksOn(it).any { task -> task < "req-000007" } }
         assertTrue(serviceMachines.isNotEmpty())
         cluster.leader().pauseProcess(pauseS * SECOND)
         cluster.run((50 + pauseS) * SECOND)
-        cluster.rules.faultsOverSinceUs = cluster.now
+        cluster.rules.faultsOverAtUs = cluster.now
         cluster.run((50 + pauseS + 20) * SECOND)
         assertTrue(
-            cluster.workers.keys.containsAll(serviceMachines),
-            "service machines released: ${serviceMachines - cluster.workers.keys}",
+            cluster.agents.keys.containsAll(serviceMachines),
+            "service machines released: ${serviceMachines - cluster.agents.keys}",
         )
         val runningReplicas =
             (1..6).sumOf { n ->
-                cluster.workers.keys.sumOf { m -> cluster.rules.attemptsOn(m).count { it.startsWith("req-%06d/".format(n)) } }
+                cluster.agents.keys.sumOf { m -> cluster.rules.tasksOn(m).count { it.startsWith("req-%06d/".format(n)) } }
             }
         assertEquals(12, runningReplicas, "running replicas")
         cluster.run((50 + pauseS + 120) * SECOND)
--- a/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
+++ b/src/test/kotlin/mintpick/simulation/QuickBootTest.kt
@@ -22,12 +22,14 @@
         (41L..46L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
                 val cluster =
-                    SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 12, boots = SECOND..2 * SECOND)) { SampleJobs.settings(it) }
+                    SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 12, bootTimes = SECOND..2 * SECOND)) {
+                        SampleJobs.settings(it)
+                    }
                 cluster.run(20 * SECOND)
-                val machinesBefore = cluster.workers.keys.toSet()
-                cluster.stateStoreFaults.lost = 250
+                val machinesBefore = cluster.agents.keys.toSet()
+                cluster.stateStoreFaults.lossRate = 250
                 val jobs = (1..16).map { n -> SampleJobs.spec("req-%06d".format(n), "blue", 2, cpus = 3.0, estimateS = 8.0) }
-                jobs.forEachIndexed { n, job -> cluster.after(n * SECOND / 8) { cluster.user(job, null) } }
+                jobs.forEachIndexed { n, job -> cluster.after(n * SECOND / 8) { cluster.addUser(job, null) } }
                 val leader = cluster.leader()
                 cluster.after(4 * SECOND) { leader.crash(12 * SECOND) }
                 val newMachinesUsed = HashSet<String>()
@@ -39,11 +41,11 @@
                 }
                 cluster.run(36 * SECOND)
                 val nextLeader = cluster.leader()
-                cluster.stateStoreFaults.lost = 0
-                cluster.rules.faultsOverSinceUs = cluster.now + 12 * SECOND
+                cluster.stateStoreFaults.lossRate = 0
+                cluster.rules.faultsOverAtUs = cluster.now + 12 * SECOND
                 cluster.run(90 * SECOND)
                 assertTrue(newMachinesUsed.isNotEmpty(), "no new machine received a task")
-                assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "no write was carried out late")
+                assertTrue(cluster.stateStoreFaults.applied().isNotEmpty(), "no write was carried out late")
                 assertNotEquals(leader.settings.node, nextLeader.settings.node)
                 assertEquals(emptyList<String>(), jobs.map { it.id }.filter { !cluster.rules.isFinal(it) }, "jobs not finished")
                 cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/simulation/ServiceGuaranteesTest.kt
+++ b/src/test/kotlin/mintpick/simulation/ServiceGuaranteesTest.kt
@@ -8,7 +8,7 @@
 import mintpick.testing.SimulatedAgent
 import mintpick.testing.SimulatedCluster
 import mintpick.testing.assertRulesHeld
-import mintpick.testing.injectRandom
+import mintpick.testing.injectRandomFault
 import mintpick.testing.recordsNaming
 import mintpick.wire.JobSpec
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -31,9 +31,10 @@
         tasks: Int = 2,
     ): JobSpec = SampleJobs.service(n, tasks = tasks)
 
-    private fun SimulatedCluster.submitServices(count: Int) = (1..count).forEach { n -> after(n * SECOND / 2) { user(service(n), null) } }
+    private fun SimulatedCluster.submitServices(count: Int) =
+        (1..count).forEach { n -> after(n * SECOND / 2) { addUser(service(n), null) } }
 
-    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = workers.values.maxBy { rules.attemptsOn(it.id).size }
+    private fun SimulatedCluster.busiestMachine(): SimulatedAgent = agents.values.maxBy { rules.tasksOn(it.id).size }
 
     /**
      * A machine whose heartbeats arrive while no answers or commands reach it was considered alive. It kept its replicas and
@@ -45,18 +46,18 @@
         cluster.submitServices(6)
         cluster.run(60 * SECOND)
         val unreachable = cluster.busiestMachine()
-        val tasksBefore = cluster.rules.attemptsOn(unreachable.id)
+        val tasksBefore = cluster.rules.tasksOn(unreachable.id)
         assertTrue(tasksBefore.isNotEmpty())
-        unreachable.deaf = true
+        unreachable.inboundLost = true
         cluster.run(64 * SECOND)
-        (7..10).forEach { n -> cluster.user(service(n), null) }
+        (7..10).forEach { n -> cluster.addUser(service(n), null) }
         cluster.run(100 * SECOND)
-        assertFalse(unreachable.id in cluster.workers, "the unreachable machine is not released")
-        assertTrue(tasksBefore.all { task -> cluster.workers.values.any { task in cluster.rules.attemptsOn(it.id) } }, "tasks not moved")
+        assertFalse(unreachable.id in cluster.agents, "the unreachable machine is not released")
+        assertTrue(tasksBefore.all { task -> cluster.agents.values.any { task in cluster.rules.tasksOn(it.id) } }, "tasks not moved")
         assertTrue(
             (7..10).all { n ->
-                cluster.workers.values.any { w ->
-                    cluster.rules.attemptsOn(w.id).any { it.startsWith("req-%06d".format(n)) }
+                cluster.agents.values.any { w ->
+                    cluster.rules.tasksOn(w.id).any { it.startsWith("req-%06d".format(n)) }
                 }
             },
             "new services wait for the unreachable machine",
@@ -74,14 +75,14 @@
         cluster.submitServices(4)
         cluster.run(60 * SECOND)
         val unreachable = cluster.busiestMachine()
-        unreachable.deaf = true
-        cluster.cloud.out = true
+        unreachable.inboundLost = true
+        cluster.cloud.unavailable = true
         cluster.run(66 * SECOND)
-        (5..12).forEach { n -> cluster.user(service(n, tasks = 1), null) }
+        (5..12).forEach { n -> cluster.addUser(service(n, tasks = 1), null) }
         cluster.run(76 * SECOND)
         val notStarted =
             (5..12).count { n ->
-                cluster.workers.values.none { w -> cluster.rules.attemptsOn(w.id).any { it.startsWith("req-%06d".format(n)) } }
+                cluster.agents.values.none { w -> cluster.rules.tasksOn(w.id).any { it.startsWith("req-%06d".format(n)) } }
             }
         assertTrue(notStarted <= 1, "$notStarted of 8 services wait for an unreachable machine")
         // With the cloud down, its tasks can be requeued only after its lease has expired.
@@ -97,27 +98,27 @@
         cluster.run(60 * SECOND)
         val removed = cluster.busiestMachine()
         removed.noticeUs = cluster.now + 20 * SECOND
-        val copies = List(3) { removed.report(cluster.now) }
+        val copies = List(3) { removed.heartbeat(cluster.now) }
         removed.noticeUs = null
         cluster.remove(removed.id)
-        val other = cluster.workers.values.first { it !== removed }
-        val tasksBefore = cluster.rules.attemptsOn(other.id)
+        val other = cluster.agents.values.first { it !== removed }
+        val tasksBefore = cluster.rules.tasksOn(other.id)
         other.noticeUs = cluster.now + 20 * SECOND
-        val outdated = other.report(cluster.now).copy(tasks = emptyList())
+        val outdated = other.heartbeat(cluster.now).copy(tasks = emptyList())
         other.noticeUs = null
         cluster.run(85 * SECOND)
         cluster.nodes.forEach { it.crash(SECOND / 5) }
         for (at in listOf(1L, 3L, 6L, 9L)) {
             cluster.after(at * SECOND) {
-                copies.forEach { copy -> cluster.nodes.forEach { cluster.replay(copy, it) } }
-                cluster.nodes.forEach { cluster.replay(outdated, it) }
+                copies.forEach { copy -> cluster.nodes.forEach { cluster.deliverDuplicate(copy, it) } }
+                cluster.nodes.forEach { cluster.deliverDuplicate(outdated, it) }
             }
         }
         cluster.run(130 * SECOND)
         cluster.assertRulesHeld()
         assertEquals(emptySet<String>(), cluster.recordsNaming(removed.id), "records that name the terminated machine")
-        assertEquals(tasksBefore, cluster.rules.attemptsOn(other.id).intersect(tasksBefore), "tasks that stay on the other machine")
-        assertTrue(other.id in cluster.workers, "the other machine is drained")
+        assertEquals(tasksBefore, cluster.rules.tasksOn(other.id).intersect(tasksBefore), "tasks that stay on the other machine")
+        assertTrue(other.id in cluster.agents, "the other machine is drained")
     }
 
     /**
@@ -129,7 +130,7 @@
         for (outageS in listOf(10L, 45L)) {
             val cluster = cluster(14 + outageS)
             cluster.submitServices(6)
-            cluster.after(70 * SECOND) { cluster.user(service(20), 5 * SECOND) }
+            cluster.after(70 * SECOND) { cluster.addUser(service(20), 5 * SECOND) }
             cluster.run(60 * SECOND)
             val node = cluster.nodes[0]
             node.cutFromState = true
@@ -137,15 +138,15 @@
             cluster.run((60 + outageS) * SECOND)
             node.cutFromState = false
             node.cutFromPeers = false
-            cluster.rules.faultsOverSinceUs = cluster.now
+            cluster.rules.faultsOverAtUs = cluster.now
             cluster.run((140 + outageS) * SECOND)
             cluster.assertRulesHeld()
             assertTrue(
                 (1..6).all { n ->
                     (0..1).all { t ->
-                        cluster.workers.values.any {
+                        cluster.agents.values.any {
                             "req-%06d/$t".format(n) in
-                                cluster.rules.attemptsOn(it.id)
+                                cluster.rules.tasksOn(it.id)
                         }
                     }
                 },
@@ -157,7 +158,7 @@
     fun `every job stays known and is served through random short faults`() =
         (31L..38L).map { seed ->
             DynamicTest.dynamicTest("seed $seed") {
-                val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, copied = 60))
+                val cluster = cluster(seed, FaultRates(lost = 3, lostAnswer = 3, late = 4, duplicated = 60))
                 (1..30).forEach { n ->
                     val spec =
                         if (n % 4 == 0) {
@@ -177,20 +178,20 @@
                                 estimateS = 2.0 + cluster.random.nextInt(12),
                             )
                         }
-                    cluster.after(cluster.random.nextLong(60 * SECOND)) { cluster.user(spec, if (n % 7 == 0) 20 * SECOND else null) }
+                    cluster.after(cluster.random.nextLong(60 * SECOND)) { cluster.addUser(spec, if (n % 7 == 0) 20 * SECOND else null) }
                 }
                 repeat(
                     8,
                 ) {
                     cluster.after(5 * SECOND + cluster.random.nextLong(95 * SECOND)) {
-                        cluster.injectRandom(
+                        cluster.injectRandomFault(
                             ALL_FAULTS,
                             2 * SECOND,
                             20 * SECOND,
                         )
                     }
                 }
-                cluster.after(120 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
+                cluster.after(120 * SECOND) { cluster.rules.faultsOverAtUs = cluster.now }
                 cluster.run(300 * SECOND)
                 cluster.rules.checkServed(cluster.now)
                 cluster.assertRulesHeld()
@@ -205,14 +206,14 @@
     fun `controllers that receive no hints from each other do not claim shards back and forth`() {
         val cluster = cluster(45, size = ClusterSize(machines = 90))
         (1..20).forEach { n ->
-            cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 10, cpus = 2.0, estimateS = 500.0), null)
+            cluster.addUser(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 10, cpus = 2.0, estimateS = 500.0), null)
         }
         cluster.run(60 * SECOND)
         val claimsBefore = cluster.state.writesByKind["s"] ?: 0
         cluster.nodes.forEach { it.cutFromPeers = true }
         // Agents of new machines send their first heartbeat to any controller.
         (21..40).forEach { n ->
-            cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 10, cpus = 2.0, estimateS = 500.0), null)
+            cluster.addUser(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 10, cpus = 2.0, estimateS = 500.0), null)
         }
         cluster.run(100 * SECOND)
         val claims = (cluster.state.writesByKind["s"] ?: 0) - claimsBefore
@@ -228,11 +229,11 @@
     @Test
     fun `the largest job starts while small jobs keep arriving`() {
         val cluster = cluster(41)
-        cluster.user(SampleJobs.spec("req-900000", team = "blue", tasks = 900, estimateS = 40.0), null)
+        cluster.addUser(SampleJobs.spec("req-900000", team = "blue", tasks = 900, estimateS = 40.0), null)
         (1..260).forEach { n ->
             cluster.after(
                 n * SECOND,
-            ) { cluster.user(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 14, estimateS = 12.0), null) }
+            ) { cluster.addUser(SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 14, estimateS = 12.0), null) }
         }
         cluster.run(260 * SECOND)
         val startedUs = cluster.rules.startOf("req-900000")
--- a/src/test/kotlin/mintpick/simulation/SlowBootTest.kt
+++ b/src/test/kotlin/mintpick/simulation/SlowBootTest.kt
@@ -13,11 +13,15 @@
 class SlowBootTest {
     private fun cluster(seed: Long): SimulatedCluster {
         val cluster =
-            SimulatedCluster(seed, FaultRates(), ClusterSize(machines = 400, boots = 3 * SECOND..6 * SECOND)) { SampleJobs.settings(it) }
+            SimulatedCluster(
+                seed,
+                FaultRates(),
+                ClusterSize(machines = 400, bootTimes = 3 * SECOND..6 * SECOND),
+            ) { SampleJobs.settings(it) }
         (1..24).forEach { n ->
             cluster.after(
                 2 * SECOND + n,
-            ) { cluster.user(SampleJobs.spec("req-%06d".format(n), "blue", 10, cpus = 2.0, estimateS = 30.0), null) }
+            ) { cluster.addUser(SampleJobs.spec("req-%06d".format(n), "blue", 10, cpus = 2.0, estimateS = 30.0), null) }
         }
         return cluster
     }
@@ -25,18 +29,21 @@
     private fun SimulatedCluster.completedJobs(): Int = (1..24).count { rules.isComplete("req-%06d".format(it)) }
 
     @Test
-    fun `fewer than twice as many machines are rented when all of them take four times as long to boot`() {
+    fun `fewer than twice as many machines are rentedMachines when all of them take four times as long to boot`() {
         val onTime = cluster(75).apply { run(120 * SECOND) }
-        val slow = cluster(75).apply { cloud.bootFactor = { 4 } }
+        val slow = cluster(75).apply { cloud.bootTimeFactor = { 4 } }
         slow.run(120 * SECOND)
         assertTrue(slow.completedJobs() == 24, "${slow.completedJobs()} jobs completed")
-        assertTrue(slow.cloud.rented < onTime.cloud.rented * 2, "${slow.cloud.rented} machines rented instead of ${onTime.cloud.rented}")
+        assertTrue(
+            slow.cloud.rentedMachines < onTime.cloud.rentedMachines * 2,
+            "${slow.cloud.rentedMachines} machines rentedMachines instead of ${onTime.cloud.rentedMachines}",
+        )
         slow.assertRulesHeld()
     }
 
     @Test
     fun `all jobs complete in the other zone when the machines of one zone never boot`() {
-        val cluster = cluster(76).apply { cloud.bootFactor = { if (it.zone == "north") null else 1 } }
+        val cluster = cluster(76).apply { cloud.bootTimeFactor = { if (it.zone == "north") null else 1 } }
         cluster.run(150 * SECOND)
         assertTrue(cluster.completedJobs() == 24, "${cluster.completedJobs()} jobs completed")
         cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/StateStoreFaultCombinationsTest.kt
@@ -25,7 +25,7 @@
 import mintpick.testing.SimulatedStateStore
 import mintpick.testing.UserFaults
 import mintpick.testing.assertRulesHeld
-import mintpick.testing.leadership
+import mintpick.testing.leaderClaim
 import mintpick.wire.Change
 import mintpick.wire.ClaimRecord
 import mintpick.wire.StoredStage
@@ -98,7 +98,7 @@
 
         /** Compacts the log, so that the revision of every watch is too old. */
         fun compactLog() {
-            state.oldestWatch = state.revision + 2
+            state.oldestWatchableRevision = state.revision + 2
         }
 
         private companion object {
@@ -137,7 +137,7 @@
         repeat(50) { if (client.hasLoaded) run(SECOND / 50) }
         assertFalse(client.hasLoaded, "the records are being loaded again")
         // The log reaches back to the revision that is being loaded.
-        state.oldestWatch = state.revision
+        state.oldestWatchableRevision = state.revision
         run(SECOND / 2)
     }
 
@@ -187,7 +187,7 @@
         controller.run(20 * SECOND)
         controller.holdsAnswer = { isFurtherPage(it) || "/touch" in it.path }
         repeat(2) { controller.state.write(job(EXTRA_JOB + it)) }
-        controller.state.oldestWatch = controller.state.revision
+        controller.state.oldestWatchableRevision = controller.state.revision
         controller.losesAnswer = { it.path.startsWith("/follow") }
         controller.connected = true
         controller.run(2 * SECOND)
@@ -271,7 +271,7 @@
         controller.run(14 * SECOND)
         controller.state.write(job(2, tasks = 600))
         controller.state.write(Change(put = Keys.chunk("req-000002", 1), value = RecordCodec.chunkJson(chunk, RecordFormat.VERBOSE)))
-        controller.state.order = { it.reversed() }
+        controller.state.eventOrder = { it.reversed() }
         controller.connected = true
         controller.run(6 * SECOND)
         assertEquals(1, controller.cache.job(JobId("req-000002"))?.placedCount)
@@ -339,16 +339,16 @@
                     (1..JOB_COUNT).forEach { n ->
                         val team = if (n % 2 == 0) "red" else "blue"
                         val spec = SampleJobs.spec("req-%06d".format(n), team, 1 + n % 4, cpus = 1.0, estimateS = 3.0)
-                        cluster.after(5 * SECOND + n * SECOND / 2) { users.begin(spec, if (n % 4 < 2) n % 5 * SECOND else null) }
+                        cluster.after(5 * SECOND + n * SECOND / 2) { users.submitAndPoll(spec, if (n % 4 < 2) n % 5 * SECOND else null) }
                     }
-                    cluster.stateStoreFaults.atOnce = atOnce
-                    cluster.stateStoreFaults.picks = { _, transaction -> matches(transaction) }
-                    cluster.after(12 * SECOND) { cluster.stateStoreFaults.lost = 1000 }
-                    cluster.after(18 * SECOND) { cluster.nodes.first { it.settings.node == cluster.leadership()?.node }.crash(6 * SECOND) }
-                    cluster.after(27 * SECOND) { cluster.stateStoreFaults.lost = 0 }
+                    cluster.stateStoreFaults.appliesImmediately = atOnce
+                    cluster.stateStoreFaults.mayLose = { _, transaction -> matches(transaction) }
+                    cluster.after(12 * SECOND) { cluster.stateStoreFaults.lossRate = 1000 }
+                    cluster.after(18 * SECOND) { cluster.nodes.first { it.settings.node == cluster.leaderClaim()?.node }.crash(6 * SECOND) }
+                    cluster.after(27 * SECOND) { cluster.stateStoreFaults.lossRate = 0 }
                     cluster.run(150 * SECOND)
                     val lost = cluster.stateStoreFaults.lostTransactions
-                    assertTrue(cluster.stateStoreFaults.carriedOut().isNotEmpty(), "none committed of ${lost.size} unanswered transactions")
+                    assertTrue(cluster.stateStoreFaults.applied().isNotEmpty(), "none committed of ${lost.size} unanswered transactions")
                     cluster.assertRulesHeld()
                     assertEquals(emptyList<Int>(), (1..JOB_COUNT).filter { !cluster.rules.isFinal("req-%06d".format(it)) })
                 }
--- a/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UncertainRequeueTest.kt
@@ -36,26 +36,26 @@
         fun run() {
             (1..12).forEach { n ->
                 val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 300.0)
-                cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
+                cluster.after(n * SECOND / 4) { cluster.addUser(spec, null) }
             }
             // These jobs end in the meantime and free capacity for the replacements.
             (13..18).forEach { n ->
                 val spec = SampleJobs.spec("req-%06d".format(n), team = "blue", tasks = 2, cpus = 2.0, estimateS = 50.0)
-                cluster.after(n * SECOND / 4) { cluster.user(spec, null) }
+                cluster.after(n * SECOND / 4) { cluster.addUser(spec, null) }
             }
             cluster.run(60 * SECOND)
-            cluster.cloud.out = true
+            cluster.cloud.unavailable = true
             isolated.cutFromPeers = true
             hungMachines =
-                cluster.workers.values
-                    .filter { it.zone == ZONE && it.held().isNotEmpty() }
+                cluster.agents.values
+                    .filter { it.zone == ZONE && it.assignedTasks().isNotEmpty() }
                     .take(2)
             hungMachines.forEach { it.hangingUntilUs = Long.MAX_VALUE }
-            cluster.stateStoreFaults.lost = 1000
-            cluster.stateStoreFaults.lateUs = COMMIT_DELAY..COMMIT_DELAY + SECOND
-            cluster.stateStoreFaults.picks = { node, transaction -> node === isolated && isRequeue(transaction) }
-            cluster.stateStoreFaults.onCarriedOut = { late ->
-                machinesOfLost.getValue(late.transaction).forEach { committedRequeues += it.id to it.held() }
+            cluster.stateStoreFaults.lossRate = 1000
+            cluster.stateStoreFaults.applyDelayUs = COMMIT_DELAY..COMMIT_DELAY + SECOND
+            cluster.stateStoreFaults.mayLose = { node, transaction -> node === isolated && isRequeue(transaction) }
+            cluster.stateStoreFaults.onApplied = { late ->
+                machinesOfLost.getValue(late.transaction).forEach { committedRequeues += it.id to it.assignedTasks() }
             }
             cluster.run(102 * SECOND)
         }
--- a/src/test/kotlin/mintpick/simulation/UnguaranteedTeamsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UnguaranteedTeamsTest.kt
@@ -33,13 +33,13 @@
     fun `hundreds of one-task jobs need few writes and delay no services or arrays`() {
         val cluster = cluster(95)
         val jobCount = 360
-        cluster.user(SampleJobs.service(9000, tasks = 2), null)
+        cluster.addUser(SampleJobs.service(9000, tasks = 2), null)
         cluster.run(20 * SECOND)
         val writesBefore = cluster.state.writes
-        (1..jobCount).forEach { n -> cluster.after(n * SECOND / 6) { cluster.user(unguaranteedJob(n), null) } }
+        (1..jobCount).forEach { n -> cluster.after(n * SECOND / 6) { cluster.addUser(unguaranteedJob(n), null) } }
         (1..10).forEach { n ->
-            cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.service(8000 + n, tasks = 1), null) }
-            cluster.after(n * 5 * SECOND) { cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "red", 6, estimateS = 6.0), null) }
+            cluster.after(n * 5 * SECOND) { cluster.addUser(SampleJobs.service(8000 + n, tasks = 1), null) }
+            cluster.after(n * 5 * SECOND) { cluster.addUser(SampleJobs.spec("req-%06d".format(7000 + n), "red", 6, estimateS = 6.0), null) }
         }
         cluster.run(85 * SECOND)
         val writes = cluster.state.writes - writesBefore
@@ -61,11 +61,11 @@
     @Test
     fun `an array of twenty thousand unallocated tasks starts at once, yields to funded work and completes`() {
         val cluster = cluster(96)
-        cluster.user(unguaranteedJob(1, tasks = 20_000, estimateS = 3.0), null)
+        cluster.addUser(unguaranteedJob(1, tasks = 20_000, estimateS = 3.0), null)
         (1..20).forEach { n ->
             cluster.after(
                 (30L + n * 6) * SECOND,
-            ) { cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "red", 4, estimateS = 6.0), null) }
+            ) { cluster.addUser(SampleJobs.spec("req-%06d".format(7000 + n), "red", 4, estimateS = 6.0), null) }
         }
         cluster.run(170 * SECOND)
         val startedUs = cluster.rules.startOf("req-000001")
@@ -79,13 +79,15 @@
     /** Guards `JobPlacer.isSpotOnly`. Without it, unallocated tasks filled the on-demand machines of a peak, and none was ever released. */
     @Test
     fun `unallocated tasks of the lowest priority keep no on-demand machines`() {
-        val cluster = SimulatedCluster(98, FaultRates(), ClusterSize(machines = 60, spot = 6)) { SampleJobs.settings(it) }
-        (1..4).forEach { n -> cluster.user(unguaranteedJob(n, tasks = 800, estimateS = 40.0), null) }
-        (1..10).forEach { n -> cluster.user(SampleJobs.spec("req-%06d".format(7000 + n), "blue", 20, cpus = 2.0, estimateS = 15.0), null) }
+        val cluster = SimulatedCluster(98, FaultRates(), ClusterSize(machines = 60, spotMachines = 6)) { SampleJobs.settings(it) }
+        (1..4).forEach { n -> cluster.addUser(unguaranteedJob(n, tasks = 800, estimateS = 40.0), null) }
+        (1..10).forEach { n ->
+            cluster.addUser(SampleJobs.spec("req-%06d".format(7000 + n), "blue", 20, cpus = 2.0, estimateS = 15.0), null)
+        }
         cluster.run(25 * SECOND)
-        assertTrue(cluster.workers.values.count { !it.spot } > 5, "on-demand machines for the peak")
+        assertTrue(cluster.agents.values.count { !it.spot } > 5, "on-demand machines for the peak")
         cluster.run(100 * SECOND)
-        assertEquals(0, cluster.workers.values.count { !it.spot }, "on-demand machines left")
+        assertEquals(0, cluster.agents.values.count { !it.spot }, "on-demand machines left")
         assertTrue(
             cluster.rules.running.keys
                 .any { it < "req-007000" },
@@ -96,8 +98,8 @@
 
     @Test
     fun `unallocated tasks run on on-demand machines where there are no spot machines`() {
-        val cluster = SimulatedCluster(99, FaultRates(), ClusterSize(machines = 20, spot = 0)) { SampleJobs.settings(it) }
-        (1..3).forEach { n -> cluster.user(unguaranteedJob(n, tasks = 30, estimateS = 40.0), null) }
+        val cluster = SimulatedCluster(99, FaultRates(), ClusterSize(machines = 20, spotMachines = 0)) { SampleJobs.settings(it) }
+        (1..3).forEach { n -> cluster.addUser(unguaranteedJob(n, tasks = 30, estimateS = 40.0), null) }
         cluster.run(240 * SECOND)
         assertEquals(emptyList<Int>(), (1..3).filter { !cluster.rules.isFinal("req-%06d".format(it)) }, "unallocated jobs not finished")
         cluster.assertRulesHeld()
--- a/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
+++ b/src/test/kotlin/mintpick/simulation/UserRequestFaultCombinationsTest.kt
@@ -59,10 +59,10 @@
         val users = UserFaults(cluster)
         (1..480).forEach { n ->
             val cancelUs = if (n % 4 == 0) cluster.random.nextLong(6 * SECOND) else null
-            cluster.after(n * SECOND / 4) { cluster.user(batch(n), cancelUs) }
+            cluster.after(n * SECOND / 4) { cluster.addUser(batch(n), cancelUs) }
         }
-        cluster.after(100 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
-        cluster.after(SECOND) { users.watchWaiting() }
+        cluster.after(100 * SECOND) { cluster.rules.faultsOverAtUs = cluster.now }
+        cluster.after(SECOND) { users.watchWaitingJobs() }
         cluster.run(220 * SECOND)
         cluster.assertNoBreach()
         assertEquals(480, (1..480).count { cluster.rules.isFinal(id(it)) })
@@ -75,12 +75,15 @@
         val users = UserFaults(cluster)
         (1..60).forEach { n ->
             val cancelUs = listOf(null, 0L, 3 * MILLI, 2 * SECOND)[n % 4]
-            cluster.after(10 * SECOND + n * SECOND / 2) { users.begin(batch(n, tasks = 1 + n % 3, estimateS = 2.0), cancelUs) }
+            cluster.after(10 * SECOND + n * SECOND / 2) { users.submitAndPoll(batch(n, tasks = 1 + n % 3, estimateS = 2.0), cancelUs) }
         }
         cluster.run(100 * SECOND)
         cluster.assertNoBreach()
         assertEquals(60, (1..60).count { cluster.rules.isFinal(id(it)) })
-        assertTrue(users.answers.getValue("look 200") > 2000 && users.answers.getValue("repeat 200") > 1000, "${users.answers}")
+        assertTrue(
+            users.answerCounts.getValue("look 200") > 2000 && users.answerCounts.getValue("repeat 200") > 1000,
+            "${users.answerCounts}",
+        )
     }
 
     /** Scenario 14: a cancellation is written at the same time as the completion of the job. */
@@ -89,7 +92,7 @@
         val cluster = cluster(114, ClusterSize(machines = 20))
         val users = UserFaults(cluster)
         users.cancelAtEnd(50)
-        (1..80).forEach { n -> cluster.after(10 * SECOND + n * SECOND / 3) { cluster.user(batch(n, 1 + n % 4, 2.0), null) } }
+        (1..80).forEach { n -> cluster.after(10 * SECOND + n * SECOND / 3) { cluster.addUser(batch(n, 1 + n % 4, 2.0), null) } }
         cluster.run(100 * SECOND)
         cluster.assertNoBreach()
         assertTrue(users.cancelledAtEnd.size > 20, "cancelled at completion: ${users.cancelledAtEnd.size}")
@@ -103,13 +106,19 @@
             DynamicTest.dynamicTest("for $hangS s") {
                 val cluster = cluster(120 + hangS)
                 val users = UserFaults(cluster)
-                (1..40).forEach { n -> cluster.user(batch(n, tasks = 2, estimateS = 500.0), null) }
+                (1..40).forEach { n -> cluster.addUser(batch(n, tasks = 2, estimateS = 500.0), null) }
                 cluster.run(60 * SECOND)
                 users.cancelNow(25, hangS * SECOND)
                 cluster.run(120 * SECOND)
                 cluster.assertNoBreach()
-                assertTrue(users.cancelledRunning.size > 15, "running jobs cancelled: ${users.cancelledRunning.size}")
-                assertTrue(users.hung.size > 3, "hanging machines: ${users.hung.size}")
+                assertTrue(
+                    users.cancelledRunning.size > 15,
+                    "running jobs cancelled: ${users.cancelledRunning.size}",
+                )
+                assertTrue(
+                    users.hungMachines.size > 3,
+                    "hanging machines: ${users.hungMachines.size}",
+                )
                 assertTrue(users.cancelledRunning.all { job -> cluster.rules.isFinal(job) })
                 assertEquals(emptyList<Long>(), cluster.rules.startsAfterCancel.filter { it > 2 * SECOND })
             }
@@ -137,7 +146,7 @@
             DynamicTest.dynamicTest(name) {
                 val cluster = cluster(124, ClusterSize(machines = 20))
                 val users = UserFaults(cluster)
-                (1..60).forEach { n -> cluster.user(batch(n, tasks = 2, estimateS = 500.0), null) }
+                (1..60).forEach { n -> cluster.addUser(batch(n, tasks = 2, estimateS = 500.0), null) }
                 cluster.run(50 * SECOND)
                 val claimWritesBefore = cluster.claimWrites()
                 fault(cluster)
@@ -161,24 +170,24 @@
         val openJob = batch(1, estimateS = 500.0)
         val finishedJob = batch(2, estimateS = 1.0)
         // No records are loaded yet, so no final answer may be given.
-        var nextId = users.oddRequests(batch(0), 1000)
+        var nextId = users.submitInvalid(batch(0), 1000)
         cluster.run(SECOND / 2)
-        listOf(openJob, finishedJob).forEach { cluster.user(it, null) }
+        listOf(openJob, finishedJob).forEach { cluster.addUser(it, null) }
         cluster.run(30 * SECOND)
         assertTrue(cluster.rules.isFinal(finishedJob.id))
         val phases =
             listOf<(Boolean) -> Unit>(
                 { },
                 { on -> cluster.nodes[0].cutFromState = on },
-                { on -> cluster.state.out = on },
+                { on -> cluster.state.unavailable = on },
                 { on -> if (on) cluster.nodes.forEach { it.crash(SECOND / 2) } },
                 { on -> if (on) cluster.nodes[1].crash(8 * SECOND) },
             )
         for (phase in phases) {
             phase(true)
             for (n in 1..8) {
-                nextId = users.oddRequests(batch(0), nextId)
-                listOf(openJob, finishedJob).forEach { users.repeatOddly(it) }
+                nextId = users.submitInvalid(batch(0), nextId)
+                listOf(openJob, finishedJob).forEach { users.resubmitInvalid(it) }
                 repeat(SimulatedCluster.NODES) { users.cancel(finishedJob.id, it) }
                 users.poll(id(999), n % SimulatedCluster.NODES, "unknown")
                 cluster.run(cluster.now + SECOND / 2)
@@ -195,7 +204,7 @@
     }
 
     private fun UserFaults.statuses(kind: String): Set<String> =
-        answers.keys.filter { it.startsWith("$kind ") }.mapTo(HashSet()) { it.substringAfterLast(' ') }
+        answerCounts.keys.filter { it.startsWith("$kind ") }.mapTo(HashSet()) { it.substringAfterLast(' ') }
 
     private val finishedJobIds = (1..1200).map { id(it) }
 
@@ -216,18 +225,18 @@
         val cluster = cluster(101)
         val finalRecord = RecordCodec.finalJson(StoredStage.DONE, 1)
         cluster.store(finishedJobIds.map(Keys::job), finalRecord)
-        cluster.state.keptChanges = 100
+        cluster.state.retainedChanges = 100
         cluster.run(10 * SECOND)
         val node = cluster.nodes[0]
         node.cutFromState = true
         cluster.run(10 * SECOND + cutMs * MILLI)
         cluster.store((2000..2200).map { Keys.job(id(it)) }, finalRecord)
-        cluster.slowAnswer = { from, call -> if (from === node) slowMs(call) * MILLI else 0 }
+        cluster.answerDelay = { from, call -> if (from === node) slowMs(call) * MILLI else 0 }
         node.cutFromState = false
         val answers = ArrayList<Answer>()
         val poll: (String) -> Unit = { job -> node.deliver(Event.Poll(JobId(job), ReplyTo { answers += it })) }
         cluster.run(cluster.now + 8 * SECOND)
-        assertTrue(cluster.state.tooOld > 0, "no watch was refused as too old")
+        assertTrue(cluster.state.compactedWatches > 0, "no watch was refused as too old")
         finishedJobIds.forEach(poll)
         cluster.run(cluster.now + 2 * SECOND)
         assertEquals(0, answers.count { it.status == 404 }, "404 answers after a disconnection of $cutMs ms")
--- a/src/test/kotlin/mintpick/testing/Faults.kt
+++ b/src/test/kotlin/mintpick/testing/Faults.kt
@@ -3,151 +3,151 @@
 import mintpick.core.Micros
 import mintpick.core.SECOND
 
-/** A kind of fault that days may combine. It begins when called and ends by itself after about the given span. */
+/** A kind of fault that simulations may combine. [inject] starts it; it ends by itself after about the given duration. */
 internal class Fault(
     val name: String,
-    val begin: SimulatedCluster.(Micros) -> Unit,
+    val inject: SimulatedCluster.(Micros) -> Unit,
 )
 
-internal fun SimulatedCluster.anyNode(): SimulatedCluster.Node = nodes[random.nextInt(nodes.size)]
+internal fun SimulatedCluster.randomNode(): SimulatedCluster.Node = nodes[random.nextInt(nodes.size)]
 
-/** About one in [part] of the workers. */
-internal fun SimulatedCluster.someWorkers(part: Int): List<SimulatedAgent> = workers.values.filter { random.nextInt(part) == 0 }
+/** Random selection of about one in [oneIn] agents. */
+internal fun SimulatedCluster.randomAgents(oneIn: Int): List<SimulatedAgent> = agents.values.filter { random.nextInt(oneIn) == 0 }
 
-/** Begins one of [kinds] for between [least] and [most]; returns its name. */
-internal fun SimulatedCluster.injectRandom(
-    kinds: List<Fault>,
-    least: Micros,
-    most: Micros,
+/** Injects one of [faults], chosen at random, for between [minDuration] and [maxDuration]; returns its name. */
+internal fun SimulatedCluster.injectRandomFault(
+    faults: List<Fault>,
+    minDuration: Micros,
+    maxDuration: Micros,
 ): String {
-    val fault = kinds[random.nextInt(kinds.size)]
-    val span = least + random.nextLong(most - least)
-    fault.begin(this, span)
+    val fault = faults[random.nextInt(faults.size)]
+    val duration = minDuration + random.nextLong(maxDuration - minDuration)
+    fault.inject(this, duration)
     return fault.name
 }
 
-/** Faults of controllers: ends, restarts and what each can reach. */
+/** Faults of controllers: crashes, restarts, pauses and network partitions. */
 internal val CONTROLLER_FAULTS =
     listOf(
-        Fault("controller ends") { span -> anyNode().crash(span / 4) },
-        Fault("controller is back within a moment") { anyNode().crash(random.nextLong(SECOND / 2)) },
-        Fault("all controllers end") { span -> nodes.forEach { it.crash(SECOND + random.nextLong(span / 4)) } },
+        Fault("controller ends") { duration -> randomNode().crash(duration / 4) },
+        Fault("controller is back within a moment") { randomNode().crash(random.nextLong(SECOND / 2)) },
+        Fault("all controllers end") { duration -> nodes.forEach { it.crash(SECOND + random.nextLong(duration / 4)) } },
         Fault("all controllers are back within a moment") { nodes.forEach { it.crash(random.nextLong(SECOND)) } },
-        Fault("controller process paused") { span -> anyNode().pauseProcess(span) },
-        Fault("controllers end one after the other") { span ->
-            nodes.forEachIndexed { i, node -> after(i * span / 3) { node.crash(SECOND) } }
+        Fault("controller process paused") { duration -> randomNode().pauseProcess(duration) },
+        Fault("controllers end one after the other") { duration ->
+            nodes.forEachIndexed { i, node -> after(i * duration / 3) { node.crash(SECOND) } }
         },
-        Fault("controller without state service") { span ->
-            val node = anyNode()
+        Fault("controller without state service") { duration ->
+            val node = randomNode()
             node.cutFromState = true
-            after(span) { node.cutFromState = false }
+            after(duration) { node.cutFromState = false }
         },
-        Fault("controller without workers") { span ->
-            val node = anyNode()
-            node.cutFromWorkers = true
-            after(span) { node.cutFromWorkers = false }
+        Fault("controller without workers") { duration ->
+            val node = randomNode()
+            node.cutFromAgents = true
+            after(duration) { node.cutFromAgents = false }
         },
-        Fault("controller without state service and peers") { span ->
-            val node = anyNode()
+        Fault("controller without state service and peers") { duration ->
+            val node = randomNode()
             node.cutFromState = true
             node.cutFromPeers = true
-            after(span) {
+            after(duration) {
                 node.cutFromState = false
                 node.cutFromPeers = false
             }
         },
-        Fault("controllers do not hear each other") { span ->
+        Fault("controllers do not hear each other") { duration ->
             nodes.forEach { it.cutFromPeers = true }
-            after(span) { nodes.forEach { it.cutFromPeers = false } }
+            after(duration) { nodes.forEach { it.cutFromPeers = false } }
         },
     )
 
-/** Faults of the state service and of the cloud. */
+/** Faults of the state store and of the cloud. */
 internal val SERVICE_FAULTS =
     listOf(
-        Fault("state service out") { span ->
-            state.out = true
-            after(span) { state.out = false }
-        },
-        Fault("controllers restart in an outage") { span ->
-            state.out = true
-            after(span / 3) { nodes.forEach { it.crash(random.nextLong(SECOND / 3)) } }
-            after(span) { state.out = false }
-        },
-        Fault("state service refuses one controller, then everybody") { span ->
-            stateStoreFaults.refused = anyNode()
-            after(span / 4) { state.out = true }
-            after(span / 2) { stateStoreFaults.refused = null }
-            after(span) { state.out = false }
-        },
-        Fault("late writes") { span -> loseWrites(span, atOnce = false) },
-        Fault("lost answers to writes") { span -> loseWrites(span, atOnce = true) },
-        Fault("state service slow") { span ->
-            stateStoreFaults.slow = 300
-            after(span) { stateStoreFaults.slow = 0 }
-        },
-        Fault("cloud out") { span ->
-            cloud.out = true
-            after(span) { cloud.out = false }
+        Fault("state service out") { duration ->
+            state.unavailable = true
+            after(duration) { state.unavailable = false }
+        },
+        Fault("controllers restart in an outage") { duration ->
+            state.unavailable = true
+            after(duration / 3) { nodes.forEach { it.crash(random.nextLong(SECOND / 3)) } }
+            after(duration) { state.unavailable = false }
+        },
+        Fault("state service refuses one controller, then everybody") { duration ->
+            stateStoreFaults.refusedNode = randomNode()
+            after(duration / 4) { state.unavailable = true }
+            after(duration / 2) { stateStoreFaults.refusedNode = null }
+            after(duration) { state.unavailable = false }
+        },
+        Fault("late writes") { duration -> loseTransactions(duration, immediately = false) },
+        Fault("lost answers to writes") { duration -> loseTransactions(duration, immediately = true) },
+        Fault("state service slow") { duration ->
+            stateStoreFaults.slowRate = 300
+            after(duration) { stateStoreFaults.slowRate = 0 }
+        },
+        Fault("cloud out") { duration ->
+            cloud.unavailable = true
+            after(duration) { cloud.unavailable = false }
         },
     )
 
-/** Faults of machines and of whole zones. */
+/** Faults of machines and network partitions of whole zones. */
 internal val MACHINE_FAULTS =
     listOf(
-        Fault("machines hang") { span -> someWorkers(3).forEach { it.hangingUntilUs = now + random.nextLong(span) } },
-        Fault("machines hang for a moment") { someWorkers(4).forEach { it.hangingUntilUs = now + random.nextLong(SECOND / 2) } },
-        Fault("machines die") { someWorkers(4).forEach { remove(it.id) } },
-        Fault("machines deaf") { span ->
-            val deaf = someWorkers(4)
-            deaf.forEach { it.deaf = true }
-            after(span) { deaf.forEach { it.deaf = false } }
-        },
-        Fault("zones cut from each other") { span ->
-            zonesCut = true
-            after(span) { zonesCut = false }
-        },
-        Fault("zone cut off from everything") { span ->
-            zoneOut = listOf("north", "south")[random.nextInt(2)]
-            after(span) { zoneOut = null }
+        Fault("machines hang") { duration -> randomAgents(3).forEach { it.hangingUntilUs = now + random.nextLong(duration) } },
+        Fault("machines hang for a moment") { randomAgents(4).forEach { it.hangingUntilUs = now + random.nextLong(SECOND / 2) } },
+        Fault("machines die") { randomAgents(4).forEach { remove(it.id) } },
+        Fault("machines deaf") { duration ->
+            val unreached = randomAgents(4)
+            unreached.forEach { it.inboundLost = true }
+            after(duration) { unreached.forEach { it.inboundLost = false } }
+        },
+        Fault("zones cut from each other") { duration ->
+            zonesPartitioned = true
+            after(duration) { zonesPartitioned = false }
+        },
+        Fault("zone cut off from everything") { duration ->
+            isolatedZone = listOf("north", "south")[random.nextInt(2)]
+            after(duration) { isolatedZone = null }
         },
     )
 
-/** Faults of what workers, controllers and users tell each other. */
+/** Lost, late and duplicated messages, and cancellations at unfavourable moments. */
 internal val MESSAGE_FAULTS =
     listOf(
-        Fault("machines mute") { span ->
-            val mute = someWorkers(4)
-            mute.forEach { it.mute = true }
-            after(span) { mute.forEach { it.mute = false } }
+        Fault("machines mute") { duration ->
+            val silenced = randomAgents(4)
+            silenced.forEach { it.heartbeatsLost = true }
+            after(duration) { silenced.forEach { it.heartbeatsLost = false } }
         },
-        Fault("late commands") { span ->
-            messageDelays.lateCommands = 200
-            after(span) { messageDelays.lateCommands = 0 }
+        Fault("late commands") { duration ->
+            messageDelays.delayedCommandRate = 200
+            after(duration) { messageDelays.delayedCommandRate = 0 }
         },
-        Fault("copies of reports for the next leader") { span ->
-            messageDelays.keptForNext = 200
-            after(span) { messageDelays.keptForNext = 0 }
+        Fault("copies of reports for the next leader") { duration ->
+            messageDelays.replayRate = 200
+            after(duration) { messageDelays.replayRate = 0 }
         },
         Fault("jobs cancelled at once") { userFaults.cancelNow(count = 5, hangUs = 0) },
-        Fault("jobs cancelled at once on machines that hang") { span -> userFaults.cancelNow(count = 5, hangUs = span / 2) },
-        Fault("jobs cancelled at their end") { span ->
+        Fault("jobs cancelled at once on machines that hang") { duration -> userFaults.cancelNow(count = 5, hangUs = duration / 2) },
+        Fault("jobs cancelled at their end") { duration ->
             userFaults.cancelAtEnd(percent = 50)
-            after(span) { userFaults.cancelAtEnd(percent = 0) }
+            after(duration) { userFaults.cancelAtEnd(percent = 0) }
         },
-        Fault("slow links") { span ->
+        Fault("slow links") { duration ->
             linkDelay = { _, _ -> random.nextLong(SECOND / 2) }
-            after(span) { linkDelay = { _, _ -> 0 } }
+            after(duration) { linkDelay = { _, _ -> 0 } }
         },
     )
 
-private fun SimulatedCluster.loseWrites(
-    span: Micros,
-    atOnce: Boolean,
+private fun SimulatedCluster.loseTransactions(
+    duration: Micros,
+    immediately: Boolean,
 ) {
-    stateStoreFaults.atOnce = atOnce
-    stateStoreFaults.lost = 300
-    after(span) { stateStoreFaults.lost = 0 }
+    stateStoreFaults.appliesImmediately = immediately
+    stateStoreFaults.lossRate = 300
+    after(duration) { stateStoreFaults.lossRate = 0 }
 }
 
 internal val ALL_FAULTS = CONTROLLER_FAULTS + SERVICE_FAULTS + MACHINE_FAULTS + MESSAGE_FAULTS
--- a/src/test/kotlin/mintpick/testing/MessageDelays.kt
+++ b/src/test/kotlin/mintpick/testing/MessageDelays.kt
@@ -9,80 +9,84 @@
 import mintpick.wire.MachineReport
 import mintpick.wire.WireJson
 
-/** Holds up direct commands and keeps copies of reports, which then arrive late. */
+/** Delays direct commands, and replays copies of heartbeats to the controllers after a change of leader. */
 class MessageDelays(
     private val cluster: SimulatedCluster,
 ) {
-    /** A direct command that was held up, with the answer that nobody waits for any more. */
-    class Held(
-        val worker: SimulatedAgent,
+    /** A delayed direct command. [status] is that of its answer, which may arrive after the call has timed out; null until then. */
+    class DelayedCommand(
+        val agent: SimulatedAgent,
         val batch: CommandBatch,
         val call: Call,
     ) {
         var status: Int? = null
     }
 
-    /** For how long a command of a controller to a machine is held up; null: not at all. */
-    var holdUs: (SimulatedCluster.Node, SimulatedAgent, CommandBatch) -> Micros? = { _, _, _ -> null }
-    val held = ArrayList<Held>()
+    /** Delay of a controller's command to a machine; null: none beyond [delayedCommandRate]. */
+    var commandDelayUs: (SimulatedCluster.Node, SimulatedAgent, CommandBatch) -> Micros? = { _, _, _ -> null }
+    val delayedCommands = ArrayList<DelayedCommand>()
 
-    /** Thousandths of direct commands that arrive 2 to 16 s late. */
-    var lateCommands = 0
+    /** Thousandths of direct commands that arrive 2 to 16 s late, unless [commandDelayUs] sets their delay. */
+    var delayedCommandRate = 0
 
-    /** Thousandths of reports of which a copy is kept until a new leader has begun. */
-    var keptForNext = 0
-    private val kept = ArrayList<MachineReport>()
-    private var leader: ClaimRecord? = null
+    /** Thousandths of heartbeats of which a copy is kept and replayed to all controllers after the next change of leader. */
+    var replayRate = 0
+    private val keptHeartbeats = ArrayList<MachineReport>()
+    private var lastLeader: ClaimRecord? = null
 
-    /** How often a new leader was met by copies, and how many there were. */
-    var leadersReached = 0
+    /** Changes of leader after which copies were replayed. */
+    var leadersWithReplays = 0
         private set
-    var copiesDelivered = 0
+
+    /** Heartbeats replayed after changes of leader, counted once each, although every controller receives them. */
+    var replayedHeartbeats = 0
         private set
 
-    /** How long [call] travels if it is a command that is to be late. */
-    fun travelUs(
+    /** Travel time of [call] if it is a command to delay, otherwise null. Must be called once for each call. */
+    fun commandTravelUs(
         from: SimulatedCluster.Node,
         call: Call,
     ): Micros? {
         if (call.target !is Target.Worker || call.method != "POST") return null
-        val worker = cluster.workers.values.firstOrNull { it.address == call.target.address } ?: return null
+        val agent = cluster.agents.values.firstOrNull { it.address == call.target.address } ?: return null
         val batch = WireJson.decodeFromString(CommandBatch.serializer(), requireNotNull(call.body).decodeToString())
-        val late = lateCommands > 0 && cluster.random.nextInt(THOUSAND) < lateCommands
-        val travel = holdUs(from, worker, batch) ?: if (late) drawn() else return null
-        held += Held(worker, batch, call)
+        val late = delayedCommandRate > 0 && cluster.random.nextInt(THOUSAND) < delayedCommandRate
+        val travel = commandDelayUs(from, agent, batch) ?: if (late) randomDelay() else return null
+        delayedCommands += DelayedCommand(agent, batch, call)
         return travel
     }
 
-    private fun drawn(): Micros = 2 * SECOND + cluster.random.nextLong(14 * SECOND)
+    private fun randomDelay(): Micros = 2 * SECOND + cluster.random.nextLong(14 * SECOND)
 
-    fun arrived(
+    /** Records the status of the answer to [call] if it is a delayed command. */
+    fun commandAnswered(
         call: Call,
         status: Int,
     ) {
-        held.filter { it.call === call }.forEach { it.status = status }
+        delayedCommands.filter { it.call === call }.forEach { it.status = status }
     }
 
-    /** To be called for each report that a worker sends. */
-    fun reported(report: MachineReport) {
-        if (keptForNext > 0 && cluster.random.nextInt(THOUSAND) < keptForNext) kept += report
+    /** Must be called for each heartbeat that an agent sends. */
+    fun heartbeatSent(heartbeat: MachineReport) {
+        if (replayRate > 0 && cluster.random.nextInt(THOUSAND) < replayRate) keptHeartbeats += heartbeat
     }
 
-    fun keep(report: MachineReport) {
-        kept += report
+    /** Keeps [heartbeat] until the next change of leader. */
+    fun keepForReplay(heartbeat: MachineReport) {
+        keptHeartbeats += heartbeat
     }
 
-    /** Brings what was kept to every controller once another process has become leader. */
+    /** Delivers the kept heartbeats to every controller if the leader's claim has changed. */
     fun tick() {
-        if (keptForNext == 0 && kept.isEmpty()) return
-        val now = cluster.leadership() ?: return
-        if (leader != null && now != leader && kept.isNotEmpty()) {
-            leadersReached++
-            copiesDelivered += kept.size
-            kept.forEach { copy -> cluster.nodes.forEach { cluster.replay(copy, it) } }
-            kept.clear()
+        if (replayRate == 0 && keptHeartbeats.isEmpty()) return
+        val current = cluster.leaderClaim() ?: return
+        if (lastLeader != null && current != lastLeader && keptHeartbeats.isNotEmpty()) {
+            leadersWithReplays++
+            replayedHeartbeats += keptHeartbeats.size
+            keptHeartbeats.forEach { copy -> cluster.nodes.forEach { cluster.deliverDuplicate(copy, it) } }
+            keptHeartbeats.clear()
         }
-        leader = now
+        lastLeader = current
     }
 
     private companion object {
--- a/src/test/kotlin/mintpick/testing/Pipelines.kt
+++ b/src/test/kotlin/mintpick/testing/Pipelines.kt
@@ -4,15 +4,15 @@
 import mintpick.wire.JobSpec
 import mintpick.wire.Priority
 
-/** Jobs that wait for others, in the shapes that pipelines have. Ids go on from [next]. */
+/** Creates and submits jobs with predecessors, in the usual shapes of pipelines. Job ids are numbered from [nextId]. */
 internal class Pipelines(
     private val cluster: SimulatedCluster,
-    private var next: Int,
+    private var nextId: Int,
 ) {
     val jobs = ArrayList<JobSpec>()
 
     private fun job(
-        needs: List<JobSpec>,
+        predecessors: List<JobSpec>,
         tasks: Int = 2,
         team: String = "blue",
     ): JobSpec {
@@ -20,41 +20,41 @@
         val spec =
             SampleJobs
                 .spec(
-                    "req-%06d".format(next++),
+                    "req-%06d".format(nextId++),
                     team,
                     tasks,
                     cpus = 1.0,
                     estimateS = 1.0 + cluster.random.nextInt(6),
                     priority = if (last) Priority.HIGH else Priority.LOW,
-                ).copy(predecessors = needs.map { it.id }.ifEmpty { null }, deadlineS = if (last) 90.0 else null)
+                ).copy(predecessors = predecessors.map { it.id }.ifEmpty { null }, deadlineS = if (last) 90.0 else null)
         jobs += spec
         return spec
     }
 
-    /** Each job needs the one before; the first needs [on]. */
+    /** Creates jobs that each have the one before as predecessor; the first has [predecessors]. */
     fun chain(
         length: Int,
-        on: List<JobSpec> = emptyList(),
+        predecessors: List<JobSpec> = emptyList(),
     ): List<JobSpec> {
-        val made = ArrayList<JobSpec>()
-        repeat(length) { made += job(listOfNotNull(made.lastOrNull()).ifEmpty { on }, tasks = 1) }
-        return made
+        val created = ArrayList<JobSpec>()
+        repeat(length) { created += job(listOfNotNull(created.lastOrNull()).ifEmpty { predecessors }, tasks = 1) }
+        return created
     }
 
-    /** A first step, some beside each other, and a last that needs them all, of two teams. */
+    /** Creates a job, [width] jobs of two teams that follow it, and a last job that has all of these as predecessors. */
     fun diamond(
-        wide: Int,
-        on: List<JobSpec> = emptyList(),
+        width: Int,
+        predecessors: List<JobSpec> = emptyList(),
     ): List<JobSpec> {
-        val first = job(on)
-        val middle = List(wide) { job(listOf(first), tasks = 3, team = if (it % 2 == 0) "red" else "blue") }
+        val first = job(predecessors)
+        val middle = List(width) { job(listOf(first), tasks = 3, team = if (it % 2 == 0) "red" else "blue") }
         return listOf(first) + middle + job(middle)
     }
 
-    /** Submits [made] from now on, each as soon as those that it needs are accepted, and cancels [cancelled] after a while. */
+    /** Submits each of [created] as soon as its predecessors are accepted, and cancels [cancelled] [cancelAfterS] after its submission. */
     fun submit(
-        made: List<JobSpec>,
+        created: List<JobSpec>,
         cancelled: JobSpec? = null,
         cancelAfterS: Long = 5,
-    ) = made.forEach { cluster.user(it, if (it === cancelled) cancelAfterS * SECOND else null) }
+    ) = created.forEach { cluster.addUser(it, if (it === cancelled) cancelAfterS * SECOND else null) }
 }
--- a/src/test/kotlin/mintpick/testing/RandomFaultDay.kt
+++ b/src/test/kotlin/mintpick/testing/RandomFaultDay.kt
@@ -7,7 +7,7 @@
 
 private const val JOBS = 24
 
-/** What happened on the drawn day of [seed]. */
+/** Result of the random simulation of [seed]: the faults injected, task starts and the first breaches of rules. */
 internal class RandomFaultDay(
     val seed: Long,
     val faults: List<String>,
@@ -33,7 +33,10 @@
     return spec.copy(predecessors = predecessorsOf(n).map { "req-%06d".format(it) }.ifEmpty { null })
 }
 
-/** Two of each dozen jobs wait for others: one for a job that is cancelled sooner or later, one for that and one more. */
+/**
+ * Numbers of the predecessors of job [n]. Two of every twelve jobs have predecessors: the first follows a job that is
+ * cancelled at a random time, the second follows another such job and the first.
+ */
 private fun predecessorsOf(n: Int): List<Int> =
     when (n % 12) {
         5 -> listOf(n - 1)
@@ -41,24 +44,24 @@
         else -> emptyList()
     }
 
-/** Plays the day of [seed]; [prepare] may choose what its controllers run. */
+/** Simulates random jobs and faults drawn from [seed]. [prepare] may configure the cluster, such as which engine its controllers run. */
 internal fun playRandomFaultDay(
     seed: Long,
     prepare: (SimulatedCluster) -> Unit = {},
 ): RandomFaultDay {
-    val cluster = SimulatedCluster(seed, FaultRates(lost = 2, lostAnswer = 2, late = 3, copied = 30)) { SampleJobs.settings(it) }
+    val cluster = SimulatedCluster(seed, FaultRates(lost = 2, lostAnswer = 2, late = 3, duplicated = 30)) { SampleJobs.settings(it) }
     prepare(cluster)
     (1..JOBS).forEach { n ->
-        val cancelAfter = if (n % 4 == 0) cluster.random.nextLong(70 * SECOND) else null
-        cluster.after(cluster.random.nextLong(60 * SECOND)) { cluster.user(jobOf(cluster, n), cancelAfter) }
+        val cancelAfterUs = if (n % 4 == 0) cluster.random.nextLong(70 * SECOND) else null
+        cluster.after(cluster.random.nextLong(60 * SECOND)) { cluster.addUser(jobOf(cluster, n), cancelAfterUs) }
     }
     val faults = ArrayList<String>()
-    val first = 20 * SECOND + cluster.random.nextLong(30 * SECOND)
+    val firstFaultUs = 20 * SECOND + cluster.random.nextLong(30 * SECOND)
     repeat(2 + cluster.random.nextInt(2)) {
-        val at = first + cluster.random.nextLong(12 * SECOND)
-        cluster.after(at) { faults += cluster.injectRandom(ALL_FAULTS, 4 * SECOND, 60 * SECOND) }
+        val delay = firstFaultUs + cluster.random.nextLong(12 * SECOND)
+        cluster.after(delay) { faults += cluster.injectRandomFault(ALL_FAULTS, 4 * SECOND, 60 * SECOND) }
     }
-    cluster.after(125 * SECOND) { cluster.rules.faultsOverSinceUs = cluster.now }
+    cluster.after(125 * SECOND) { cluster.rules.faultsOverAtUs = cluster.now }
     cluster.run(230 * SECOND)
     cluster.rules.checkServed(cluster.now)
     return RandomFaultDay(
