--- a/src/test/kotlin/mintpick/testing/RuleChecker.kt
+++ b/src/test/kotlin/mintpick/testing/RuleChecker.kt
@@ -4,47 +4,58 @@
 import mintpick.wire.JobSpec
 import mintpick.wire.JobStage
 
-/** The rules of PROTOCOL, checked from the simulated services' own view. Each breach is a line that begins with the rule's name. */
+/**
+ * Checks the rules of PROTOCOL against what agents run and users are answered, not against the controllers' records.
+ * Each breach is a line that begins with the name of the rule. [limits] are the teams' CPU limits; 0 means no limit.
+ */
 class RuleChecker(
     private val cancelUs: Micros,
     private val limits: Map<String, Double>,
 ) {
     val breaches = ArrayList<String>()
-    private val on = HashMap<String, SimPlace>()
+    private val runningTasks = HashMap<String, TaskPlace>()
     private val specs = HashMap<String, JobSpec>()
     private val accepted = HashSet<String>()
     private val finished = HashMap<String, MutableSet<String>>()
-    private val told = HashMap<String, JobStage>()
-    private val cancelAsked = HashSet<String>()
-    private val cancelTold = HashMap<String, Micros>()
-    private val silentSince = HashMap<String, Micros>()
+    private val answeredStage = HashMap<String, JobStage>()
+
+    /** Jobs whose cancellation a user has requested. */
+    private val cancelRequests = HashSet<String>()
+
+    /** When a user was first answered that the job is cancelled. */
+    private val cancelConfirmedAt = HashMap<String, Micros>()
+
+    /** Time of the first poll of each job since the last answered one. */
+    private val unansweredSince = HashMap<String, Micros>()
     private val submittedAt = HashMap<String, Micros>()
     private val startedAt = HashMap<String, Micros>()
 
-    /** When the last task of each job was complete. */
+    /** When the last task of each job completed. */
     private val completeAt = HashMap<String, Micros>()
 
-    private val impossible = HashSet<String>()
+    /** Jobs whose submission must be rejected. */
+    private val unacceptable = HashSet<String>()
     private val acceptedAt = HashMap<String, Micros>()
     private val finalAt = HashMap<String, Micros>()
     private val hungAt = HashMap<String, Micros>()
-    private val waitsSince = HashMap<String, Micros>()
+    private val waitingSince = HashMap<String, Micros>()
 
-    /** How long after their confirmed cancellation tasks started: sent before, as one that is on its way may be. */
+    /** Delays between the confirmed cancellation of a job and later starts of its tasks, which commands sent before may cause. */
     val startsAfterCancel = ArrayList<Micros>()
 
-    /** Later than this after a confirmed cancellation no start can be told by a command that was on its way. */
-    var lateStartUs: Micros = cancelUs
+    /** Longest allowed delay between a confirmed cancellation and a start by a command that was in flight by then. */
+    var maxStartAfterCancelUs: Micros = cancelUs
 
-    /** When the last fault was over: from then on every job that is asked about must be answered for. */
-    var faultsOverSinceUs: Micros = Long.MAX_VALUE
+    /** When the last fault ended. Afterwards polls must be answered and jobs placed within fixed times. */
+    var faultsOverAtUs: Micros = Long.MAX_VALUE
     var starts = 0
         private set
 
-    /** How often each task was started. */
+    /** Number of starts of each task. */
     val startsOf = HashMap<String, Int>()
 
-    data class SimPlace(
+    /** Machine on which a task runs. */
+    data class TaskPlace(
         val machine: String,
         val zone: String,
         val spot: Boolean,
@@ -58,63 +69,67 @@
         submittedAt[spec.id] = now
     }
 
-    /** [job] can't run, or its submission lacks a field. */
-    fun neverAccept(job: String) {
-        impossible += job
+    /** Declares that [job] must not be accepted: it fits no machine, or its submission is malformed. */
+    fun expectRejection(job: String) {
+        unacceptable += job
     }
 
-    fun hangs(
+    /** Records that [machine] started to hang, so that a task it runs on is reported as such. */
+    fun machineHung(
         machine: String,
         now: Micros,
     ) {
         hungAt[machine] = now
     }
 
-    /** A user asks about an accepted job: unanswered questions add up job by job, however others fare. */
-    fun asked(
+    /** A user polls an accepted job. The time without an answer is counted for each job on its own. */
+    fun polled(
         job: String,
         now: Micros,
     ) {
-        silentSince.putIfAbsent(job, now)
+        unansweredSince.putIfAbsent(job, now)
     }
 
-    fun answered(job: String) {
-        silentSince.remove(job)
+    fun pollAnswered(job: String) {
+        unansweredSince.remove(job)
     }
 
-    /** At least half of each group is served, and its largest jobs begin within four minutes, as users count it. */
+    /**
+     * Checks that at least half of the runnable jobs of each class, each team and each class's largest size have
+     * started, and that the largest jobs of each class started within four minutes of being ready.
+     */
     fun checkServed(now: Micros) {
-        val counted = specs.values.filter { it.id in accepted && !isGivenUp(it.id) && readyAt(it.id) != null }
-        val largest = counted.groupBy { it.jobClass }.mapValues { (_, jobs) -> jobs.maxOf { it.tasks } }
+        val runnable = specs.values.filter { it.id in accepted && !isCancelRequested(it.id) && readyAt(it.id) != null }
+        val largest = runnable.groupBy { it.jobClass }.mapValues { (_, jobs) -> jobs.maxOf { it.tasks } }
         val groups =
-            counted.groupBy { "class ${it.jobClass}" } + counted.groupBy { "team ${it.team}" } +
-                counted.filter { it.tasks == largest[it.jobClass] }.groupBy { "largest of ${it.jobClass}" }
+            runnable.groupBy { "class ${it.jobClass}" } + runnable.groupBy { "team ${it.team}" } +
+                runnable.filter { it.tasks == largest[it.jobClass] }.groupBy { "largest of ${it.jobClass}" }
         for ((name, jobs) in groups) {
             if (jobs.count { it.id in startedAt } * 2 < jobs.size) breaches += "unserved: $name"
         }
-        for (job in counted.filter { it.tasks == largest[it.jobClass] }) {
-            val began = startedAt[job.id] ?: now
-            if (began - (readyAt(job.id) ?: 0) > LARGEST_BEGIN) breaches += "unserved: ${job.id} began at $began"
+        for (job in runnable.filter { it.tasks == largest[it.jobClass] }) {
+            val startUs = startedAt[job.id] ?: now
+            if (startUs - (readyAt(job.id) ?: 0) > MAX_DELAY_OF_LARGEST) breaches += "unserved: ${job.id} began at $startUs"
         }
     }
 
     fun spec(job: String): JobSpec? = specs[job]
 
-    /** All jobs that [job] needs, directly or through others. */
-    private fun needs(job: String): Set<String> {
+    /** All direct and indirect predecessors of [job]. */
+    private fun allPredecessors(job: String): Set<String> {
         val found = LinkedHashSet<String>()
-        val open = ArrayDeque(specs[job]?.predecessors.orEmpty())
-        while (open.isNotEmpty()) {
-            val next = open.removeFirst()
-            if (found.add(next)) open += specs[next]?.predecessors.orEmpty()
+        val pending = ArrayDeque(specs[job]?.predecessors.orEmpty())
+        while (pending.isNotEmpty()) {
+            val next = pending.removeFirst()
+            if (found.add(next)) pending += specs[next]?.predecessors.orEmpty()
         }
         return found
     }
 
-    /** Whether [job] or one that it needs was to be cancelled. */
-    private fun isGivenUp(job: String): Boolean = job in cancelAsked || needs(job).any { it in cancelAsked }
+    /** Whether a user requested the cancellation of [job] or of one of its direct or indirect predecessors. */
+    private fun isCancelRequested(job: String): Boolean = job in cancelRequests || allPredecessors(job).any { it in cancelRequests }
 
-    /** When the last of the jobs that [job] needs was complete, or when it was submitted; null: not yet. */
+    /** When the last predecessor of [job] completed or [job] was submitted, whichever is later; null: a predecessor is incomplete. */
     private fun readyAt(job: String): Micros? {
         val ends = specs[job]?.predecessors.orEmpty().map { completeAt[it] ?: return null }
         return maxOf(ends.maxOrNull() ?: 0, submittedAt[job] ?: 0)
@@ -122,7 +137,7 @@
 
     fun started(
         task: String,
-        place: SimPlace,
+        place: TaskPlace,
         now: Micros,
     ) {
         starts++
@@ -130,17 +145,17 @@
         val job = task.substringBeforeLast('/')
         val spec = specs[job]
         startedAt.putIfAbsent(job, now)
-        on[task]?.let { breaches += "ran_twice: $task on ${place.machine} while on ${it.machine} at $now" }
-        on[task] = place
+        runningTasks[task]?.let { breaches += "ran_twice: $task on ${place.machine} while on ${it.machine} at $now" }
+        runningTasks[task] = place
         if (spec == null) {
             breaches += "invented: $task"
             return
         }
-        needs(job).filterNot(::isComplete).forEach { breaches += "too_early: $task before $it at $now" }
+        allPredecessors(job).filterNot(::isComplete).forEach { breaches += "too_early: $task before $it at $now" }
         if (place.spot && !spec.spot) breaches += "wrong_place: $task on a spot machine"
         if (spec.zone != null && spec.zone != place.zone) breaches += "wrong_place: $task in ${place.zone}"
         val zones =
-            on
+            runningTasks
                 .filterKeys { it.substringBeforeLast('/') == job }
                 .values
                 .groupingBy { it.zone }
@@ -148,77 +163,77 @@
         if (spec.spread && (zones[place.zone] ?: 0) > (spec.tasks + 1) / 2) breaches += "wrong_place: $task too many in ${place.zone}"
         if (spec.oneZone && zones.size > 1) breaches += "wrong_place: $task in two zones"
         val limit = limits[spec.team] ?: 0.0
-        val used = on.keys.sumOf { t -> specs[t.substringBeforeLast('/')]?.takeIf { it.team == spec.team }?.cpus ?: 0.0 }
+        val used = runningTasks.keys.sumOf { t -> specs[t.substringBeforeLast('/')]?.takeIf { it.team == spec.team }?.cpus ?: 0.0 }
         if (limit > 0 && used > limit + 1e-6) breaches += "quota: ${spec.team} uses $used of $limit at $now"
-        cancelTold[job]?.let {
+        cancelConfirmedAt[job]?.let {
             startsAfterCancel += now - it
-            if (now - it > lateStartUs) breaches += "started_cancelled: $task ${now - it} after the cancellation"
+            if (now - it > maxStartAfterCancelUs) breaches += "started_cancelled: $task ${now - it} after the cancellation"
         }
-        cancelTold[job]?.let { if (now - it > cancelUs) breaches += "ran_cancelled: $task started at $now" }
+        cancelConfirmedAt[job]?.let { if (now - it > cancelUs) breaches += "ran_cancelled: $task started at $now" }
     }
 
-    fun left(
+    fun ended(
         task: String,
         completed: Boolean,
         now: Micros = 0,
     ) {
-        on.remove(task)
+        runningTasks.remove(task)
         val job = task.substringBeforeLast('/')
         if (completed) finished.getOrPut(job) { HashSet() } += task
         if (completed && isComplete(job)) completeAt.putIfAbsent(job, now)
     }
 
     fun cancelRequested(job: String) {
-        cancelAsked += job
+        cancelRequests += job
     }
 
     /**
-     * A user was told of a job: [stage] null stands for 404. An answer is older than another only if it was asked for,
-     * at [askedUs], after the other had come: of two that were under way at once neither is.
+     * A user received the stage of a job; null stands for 404. An answer must be consistent with an earlier one only if
+     * it was requested, at [requestedUs], after the earlier one had arrived. Of two concurrent answers neither is newer.
      */
-    fun told(
+    fun jobAnswered(
         job: String,
         stage: JobStage?,
         now: Micros,
-        askedUs: Micros = now,
+        requestedUs: Micros = now,
     ) {
         if (stage == null) {
-            if (job in accepted && askedUs >= acceptedAt.getValue(job)) breaches += "forgotten: $job at $now"
+            if (job in accepted && requestedUs >= acceptedAt.getValue(job)) breaches += "forgotten: $job at $now"
             return
         }
         if (job !in specs) {
             breaches += "invented: $job"
             return
         }
-        if (job in impossible) breaches += "accepted_odd: $job at $now"
+        if (job in unacceptable) breaches += "accepted_odd: $job at $now"
         accepted += job
         acceptedAt.putIfAbsent(job, now)
-        val before = told[job]
+        val before = answeredStage[job]
         val isFinal = before == JobStage.DONE || before == JobStage.CANCELLED
         val nowFinal = stage == JobStage.DONE || stage == JobStage.CANCELLED
-        if (isFinal && !nowFinal && askedUs < finalAt.getValue(job)) return
-        if (!nowFinal) checkOrphaned(job, now, askedUs)
+        if (isFinal && !nowFinal && requestedUs < finalAt.getValue(job)) return
+        if (!nowFinal) checkOrphaned(job, now, requestedUs)
         if (nowFinal) finalAt.putIfAbsent(job, now)
         if (isFinal && before != stage) breaches += "went_back: $job was $before, is $stage at $now"
         if (stage == JobStage.DONE && (finished[job]?.size ?: 0) < specs.getValue(job).tasks) breaches += "not_done: $job at $now"
         if (stage == JobStage.CANCELLED) {
-            if (!isGivenUp(job)) breaches += "went_back: $job cancelled by nobody"
-            cancelTold.putIfAbsent(job, now)
+            if (!isCancelRequested(job)) breaches += "went_back: $job cancelled by nobody"
+            cancelConfirmedAt.putIfAbsent(job, now)
         }
-        told[job] = stage
+        answeredStage[job] = stage
     }
 
-    /** A job behind a cancelled one may be called queued or running for so long as a cancellation takes, not longer. */
+    /** A job with a cancelled predecessor may be answered as queued or running only until the time limit of a cancellation. */
     private fun checkOrphaned(
         job: String,
         now: Micros,
-        askedUs: Micros,
+        requestedUs: Micros,
     ) {
-        val since = needs(job).mapNotNull { cancelTold[it] }.minOrNull() ?: return
-        if (askedUs - since > cancelUs) breaches += "orphaned: $job at $now, since $since"
+        val since = allPredecessors(job).mapNotNull { cancelConfirmedAt[it] }.minOrNull() ?: return
+        if (requestedUs - since > cancelUs) breaches += "orphaned: $job at $now, since $since"
     }
 
-    fun refused(
+    fun requestRefused(
         job: String,
         status: Int,
     ) {
@@ -226,58 +241,58 @@
     }
 
     fun tick(now: Micros) {
-        if (now - faultsOverSinceUs > UNANSWERED) {
-            for ((job, since) in silentSince) {
-                if (job in accepted && now - maxOf(since, faultsOverSinceUs) > UNANSWERED) breaches += "forgotten: $job unanswered at $now"
+        if (now - faultsOverAtUs > MAX_UNANSWERED) {
+            for ((job, since) in unansweredSince) {
+                if (job in accepted && now - maxOf(since, faultsOverAtUs) > MAX_UNANSWERED) breaches += "forgotten: $job unanswered at $now"
             }
         }
-        for (task in on.keys) {
-            val since = cancelTold[task.substringBeforeLast('/')] ?: continue
+        for (task in runningTasks.keys) {
+            val since = cancelConfirmedAt[task.substringBeforeLast('/')] ?: continue
             if (now - since <= cancelUs) continue
-            val hung = (hungAt[on.getValue(task).machine] ?: -1) >= since
+            val hung = (hungAt[runningTasks.getValue(task).machine] ?: -1) >= since
             breaches += "ran_cancelled: $task ${if (hung) "went on after its machine hung" else "still on a machine"} at $now"
         }
     }
 
-    /** Room on a machine that works, as the stand-ins see it. */
-    data class Room(
-        val place: SimPlace,
+    /** Free resources of a working machine, computed from the tasks that its agent knows. */
+    data class FreeCapacity(
+        val place: TaskPlace,
         val type: String,
         val cpus: Double,
         val memoryGb: Double,
     )
 
-    /** Once faults are over no job waits for long beside room for it; [assigned] are all tasks that machines know of. */
+    /** After the last fault no job may wait long while a machine in [free] fits it. [assigned] are all tasks that agents know. */
     fun checkWaiting(
-        rooms: List<Room>,
+        free: List<FreeCapacity>,
         assigned: Set<String>,
         now: Micros,
     ) {
-        if (now < faultsOverSinceUs) return
+        if (now < faultsOverAtUs) return
         val waiting =
             specs.values.filter {
                 it.id in accepted &&
-                    !isGivenUp(it.id) &&
+                    !isCancelRequested(it.id) &&
                     readyAt(it.id) != null &&
                     !isFinal(it.id) &&
-                    waits(it, rooms, assigned)
+                    couldRun(it, free, assigned)
             }
-        waitsSince.keys.retainAll(waiting.mapTo(HashSet()) { it.id })
+        waitingSince.keys.retainAll(waiting.mapTo(HashSet()) { it.id })
         for (job in waiting) {
-            val since = waitsSince.getOrPut(job.id) { now }
-            if (now - since > LEFT_WAITING) breaches += "left_waiting: ${job.id} at $now"
+            val since = waitingSince.getOrPut(job.id) { now }
+            if (now - since > MAX_WAITING) breaches += "left_waiting: ${job.id} at $now"
         }
     }
 
-    private fun waits(
+    private fun couldRun(
         spec: JobSpec,
-        rooms: List<Room>,
+        free: List<FreeCapacity>,
         assigned: Set<String>,
     ): Boolean {
         val own = (assigned + finished[spec.id].orEmpty()).count { it.substringBeforeLast('/') == spec.id }
         if (own >= spec.tasks) return false
         val zones =
-            on
+            runningTasks
                 .filterKeys { it.substringBeforeLast('/') == spec.id }
                 .values
                 .groupingBy { it.zone }
@@ -285,41 +300,41 @@
         val limit = limits[spec.team] ?: 0.0
         val used = assigned.sumOf { task -> specs[task.substringBeforeLast('/')]?.takeIf { it.team == spec.team }?.cpus ?: 0.0 }
         if (limit > 0 && used + spec.cpus > limit) return false
-        return rooms.any { room ->
-            room.cpus >= spec.cpus &&
-                room.memoryGb >= spec.memoryGb &&
-                (spec.spot || !room.place.spot) &&
-                (spec.types?.contains(room.type) ?: true) &&
-                (spec.zone ?: room.place.zone) == room.place.zone &&
-                (!spec.oneZone || zones.keys.all { it == room.place.zone }) &&
-                (!spec.spread || (zones[room.place.zone] ?: 0) < (spec.tasks + 1) / 2)
+        return free.any { machine ->
+            machine.cpus >= spec.cpus &&
+                machine.memoryGb >= spec.memoryGb &&
+                (spec.spot || !machine.place.spot) &&
+                (spec.types?.contains(machine.type) ?: true) &&
+                (spec.zone ?: machine.place.zone) == machine.place.zone &&
+                (!spec.oneZone || zones.keys.all { it == machine.place.zone }) &&
+                (!spec.spread || (zones[machine.place.zone] ?: 0) < (spec.tasks + 1) / 2)
         }
     }
 
-    fun stageOf(job: String): JobStage? = told[job]
+    fun stageOf(job: String): JobStage? = answeredStage[job]
 
     fun isComplete(job: String): Boolean = (finished[job]?.size ?: 0) == specs[job]?.tasks
 
     fun isCompleted(task: String): Boolean = task in finished[task.substringBeforeLast('/')].orEmpty()
 
-    /** Accepted jobs that nobody wants cancelled. */
-    fun wanted(): List<JobSpec> = specs.values.filter { it.id in accepted && !isGivenUp(it.id) && readyAt(it.id) != null }
+    /** Accepted jobs without a requested cancellation whose predecessors are complete. */
+    fun runnableJobs(): List<JobSpec> = specs.values.filter { it.id in accepted && !isCancelRequested(it.id) && readyAt(it.id) != null }
 
-    /** Tasks that run now, with where they do. */
-    val running: Map<String, SimPlace> get() = on
+    /** Tasks that run now, each with its machine. */
+    val running: Map<String, TaskPlace> get() = runningTasks
 
-    fun isFinal(job: String): Boolean = told[job] == JobStage.DONE || told[job] == JobStage.CANCELLED
+    fun isFinal(job: String): Boolean = answeredStage[job] == JobStage.DONE || answeredStage[job] == JobStage.CANCELLED
 
     fun startOf(job: String): Micros? = startedAt[job]
 
-    /** Tasks on [machine] now. */
-    fun attemptsOn(machine: String): Set<String> = on.filterValues { it.machine == machine }.keys
+    /** Tasks that run on [machine] now. */
+    fun tasksOn(machine: String): Set<String> = runningTasks.filterValues { it.machine == machine }.keys
 
     fun isAccepted(job: String): Boolean = job in accepted
 
     private companion object {
-        const val UNANSWERED: Micros = 75_000_000
-        const val LEFT_WAITING: Micros = 90_000_000
-        const val LARGEST_BEGIN: Micros = 240_000_000
+        const val MAX_UNANSWERED: Micros = 75_000_000
+        const val MAX_WAITING: Micros = 90_000_000
+        const val MAX_DELAY_OF_LARGEST: Micros = 240_000_000
     }
 }
--- a/src/test/kotlin/mintpick/testing/SampleJobs.kt
+++ b/src/test/kotlin/mintpick/testing/SampleJobs.kt
@@ -5,8 +5,9 @@
 import mintpick.wire.JobSpec
 import mintpick.wire.Priority
 
-/** Settings and jobs that tests share. */
+/** Settings and jobs shared by tests. */
 object SampleJobs {
+    /** Settings file of controller [index] of three; [cpusMax] is the limit of team `red`. */
     fun toml(
         index: Int = 0,
         cpusMax: Double = 24.0,
@@ -107,7 +108,7 @@
         null,
     )
 
-    /** Service number [n], on ordinary machines. */
+    /** Service job number [n], which runs on on-demand machines only. */
     fun service(
         n: Int,
         team: String = "red",
--- a/src/test/kotlin/mintpick/testing/SimulatedAgent.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedAgent.kt
@@ -9,7 +9,7 @@
 import mintpick.wire.TaskState
 import mintpick.wire.Verb
 
-/** What the world watches: which attempt is on which machine, from the machines' own view. */
+/** Observes on which machine each task runs, as the agents see it, and determines run times and failures. */
 interface TaskWatcher {
     fun started(
         machine: SimulatedAgent,
@@ -17,23 +17,24 @@
         now: Micros,
     )
 
-    fun left(
+    fun ended(
         machine: SimulatedAgent,
         task: String,
         completed: Boolean,
         now: Micros,
     )
 
+    /** Run time of [task]; null: it runs until stopped. */
     fun runTimeUs(task: String): Micros?
 
-    /** Whether a run of [task] on [machine] ends with an error. */
+    /** Whether [task] fails when run on [machine]. */
     fun fails(
         machine: SimulatedAgent,
         task: String,
     ): Boolean
 }
 
-/** Stand-in for one machine's worker: tokens, sessions, leases and tasks as PROTOCOL describes them. */
+/** Simulates the agent of one machine: fencing tokens, agent epochs, leases and tasks as PROTOCOL describes them. */
 class SimulatedAgent(
     val id: String,
     val address: String,
@@ -51,43 +52,49 @@
         var untilUs: Micros,
     )
 
-    var session = 1L
+    var agentEpoch = 1L
         private set
-    private var seq = 0L
+    private var sequence = 0L
     private var token = 0L
-    private var leaseFromUs = now
+    private var leaseStartUs = now
     private val tasks = LinkedHashMap<String, Task>()
+
+    /** Until then the agent sends no heartbeats, executes no commands and completes no tasks, but its lease still expires. */
     var hangingUntilUs: Micros = 0
+
+    /** Whether there is something new to send, so that the next heartbeat is due early. */
     var changed = true
 
-    /** Its reports leave, but answers and commands do not arrive. */
-    var deaf = false
+    /** Network fault: its heartbeats are delivered, but answers, commands and inspections do not reach it. */
+    var inboundLost = false
+
+    /** Network fault: its heartbeats are lost, while direct calls reach it and are answered. */
+    var heartbeatsLost = false
 
-    /** It reaches no controller, while direct calls reach it. */
-    var mute = false
+    /** Starts that did not reach it because of [inboundLost]: the time, and task and attempt. */
+    val missedStarts = ArrayList<Pair<Micros, String>>()
 
-    /** Starts that were sent to it while it heard nothing: when, and which. */
-    val missed = ArrayList<Pair<Micros, String>>()
+    /** When the machine will be terminated, if the cloud has given notice. */
     var noticeUs: Micros? = null
 
-    /** Results are kept: a completed task that is started again is done as soon as it has its image. */
-    private val results = HashSet<String>()
+    /** Tasks with a stored result. If started again, they are done as soon as the image is fetched. */
+    private val completedTasks = HashSet<String>()
 
-    /** Tasks that it runs or is about to run. */
-    fun held(): Set<String> = tasks.filterValues { it.state != TaskState.EXITED }.keys
+    /** Tasks that are running or fetching their image. */
+    fun assignedTasks(): Set<String> = tasks.filterValues { it.state != TaskState.EXITED }.keys
 
-    fun miss(
+    fun recordMissedStarts(
         commands: List<Command>,
         now: Micros,
     ) {
-        commands.filter { it.verb == Verb.START }.forEach { missed += now to "${it.task} ${it.attempt}" }
+        commands.filter { it.verb == Verb.START }.forEach { missedStarts += now to "${it.task} ${it.attempt}" }
     }
 
     fun tick(now: Micros) {
-        if (now - leaseFromUs > leaseUs) {
+        if (now - leaseStartUs > leaseUs) {
             kill(now)
-            session++
-            leaseFromUs = now
+            agentEpoch++
+            leaseStartUs = now
             changed = true
         }
         if (now < hangingUntilUs) return
@@ -95,13 +102,13 @@
             if (task.state == TaskState.FETCHING && now >= task.untilUs) {
                 task.state = TaskState.RUNNING
                 task.untilUs = watcher.runTimeUs(name)?.let { now + it } ?: Long.MAX_VALUE
-                if (watcher.fails(this, name)) task.untilUs = now + FAILS_AFTER
-                if (name in results) task.untilUs = now
+                if (watcher.fails(this, name)) task.untilUs = now + FAILURE_DELAY
+                if (name in completedTasks) task.untilUs = now
                 changed = true
                 watcher.started(this, name, now)
             } else if (task.state == TaskState.RUNNING && now >= task.untilUs) {
                 val fails = watcher.fails(this, name)
-                if (!fails) results += name
+                if (!fails) completedTasks += name
                 exit(name, task, if (fails) ExitCause.ERROR else ExitCause.DONE, now)
             }
         }
@@ -113,19 +120,20 @@
         cause: ExitCause,
         now: Micros,
     ) {
-        val wasOn = task.state == TaskState.RUNNING
+        val wasRunning = task.state == TaskState.RUNNING
         task.state = TaskState.EXITED
         task.cause = cause
         changed = true
-        if (wasOn) watcher.left(this, name, cause == ExitCause.DONE, now)
+        if (wasRunning) watcher.ended(this, name, cause == ExitCause.DONE, now)
     }
 
+    /** Ends all tasks without a result. */
     fun kill(now: Micros) {
-        for ((name, task) in tasks) if (task.state == TaskState.RUNNING) watcher.left(this, name, false, now)
+        for ((name, task) in tasks) if (task.state == TaskState.RUNNING) watcher.ended(this, name, false, now)
         tasks.clear()
     }
 
-    fun report(now: Micros): MachineReport {
+    fun heartbeat(now: Micros): MachineReport {
         changed = false
         return MachineReport(
             id,
@@ -133,41 +141,42 @@
             type,
             zone,
             spot,
-            session,
-            ++seq,
+            agentEpoch,
+            ++sequence,
             token,
             noticeUs?.let { (it - now).toDouble() / SECOND },
             tasks.map { (name, t) -> TaskReport(name, t.attempt, t.state, t.cause) },
         )
     }
 
-    /** Takes the answer to a report of [reportSession] that was sent at [sentUs]. */
-    fun answered(
-        reportSession: Long,
+    /** Handles the answer to a heartbeat that was sent at [sentUs] in [heartbeatEpoch]; it renews the lease from [sentUs]. */
+    fun handleHeartbeatAnswer(
+        heartbeatEpoch: Long,
         sentUs: Micros,
         answerToken: Long,
         commands: List<Command>,
         now: Micros,
     ) {
-        if (reportSession != session || answerToken < token) return
-        raise(answerToken)
-        leaseFromUs = maxOf(leaseFromUs, sentUs)
+        if (heartbeatEpoch != agentEpoch || answerToken < token) return
+        raiseToken(answerToken)
+        leaseStartUs = maxOf(leaseStartUs, sentUs)
         commands.forEach { execute(it, now) }
     }
 
-    fun direct(
+    /** Executes a batch of direct commands unless its token or agent epoch is outdated; returns status and heartbeat. */
+    fun handleCommands(
         batchToken: Long,
-        batchSession: Long,
+        batchEpoch: Long,
         commands: List<Command>,
         now: Micros,
     ): Pair<Int, MachineReport> {
-        if (batchToken < token || batchSession != session) return 409 to report(now)
-        raise(batchToken)
+        if (batchToken < token || batchEpoch != agentEpoch) return 409 to heartbeat(now)
+        raiseToken(batchToken)
         commands.forEach { execute(it, now) }
-        return 200 to report(now)
+        return 200 to heartbeat(now)
     }
 
-    private fun raise(seen: Long) {
+    private fun raiseToken(seen: Long) {
         if (seen > token) {
             token = seen
             changed = true
@@ -183,7 +192,7 @@
             Verb.START ->
                 when {
                     task == null || (task.state == TaskState.EXITED && task.attempt != command.attempt) -> {
-                        tasks[command.task] = Task(command.attempt, TaskState.FETCHING, null, now + FETCH)
+                        tasks[command.task] = Task(command.attempt, TaskState.FETCHING, null, now + FETCH_TIME)
                         changed = true
                     }
                     else -> Unit
@@ -200,7 +209,7 @@
     }
 
     private companion object {
-        const val FETCH: Micros = SECOND
-        const val FAILS_AFTER: Micros = SECOND
+        const val FETCH_TIME: Micros = SECOND
+        const val FAILURE_DELAY: Micros = SECOND
     }
 }
--- a/src/test/kotlin/mintpick/testing/SimulatedCloud.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCloud.kt
@@ -11,44 +11,44 @@
 import mintpick.wire.RentalStage
 import mintpick.wire.WireJson
 
-/** Stand-in for the cloud: rents and returns machines and lists them late, as PROTOCOL describes it. */
+/** Simulates the cloud as PROTOCOL describes it: rents and releases machines, and lists them with a delay. */
 class SimulatedCloud(
     private val cluster: SimulatedCluster,
     private val size: ClusterSize,
     private val listLagUs: Micros,
 ) {
     private val booting = LinkedHashMap<String, RentalRequest>()
-    private val born = HashMap<String, Micros>()
-    private val answered = HashMap<String, List<String>>()
-    private val lists = ArrayDeque<Pair<Micros, List<ListedMachine>>>()
+    private val rentedAt = HashMap<String, Micros>()
+    private val machinesByRequest = HashMap<String, List<String>>()
+    private val listings = ArrayDeque<Pair<Micros, List<ListedMachine>>>()
 
-    /** Whether it answers nothing but 503. */
-    var out = false
+    /** Outage: every request is answered with 503. */
+    var unavailable = false
 
-    /** Machines that come up late or never: by request, how many times their boot takes; null: never. */
-    var bootFactor: (RentalRequest) -> Int? = { 1 }
+    /** Factor by which the boot time of a request's machines is multiplied; null: they never boot. */
+    var bootTimeFactor: (RentalRequest) -> Int? = { 1 }
 
-    /** Machines rented, over all time. */
-    var rented = 0
+    /** Number of machines rented so far. */
+    var rentedMachines = 0
         private set
 
-    /** Names of rental requests, each with the lives of controllers that used it. */
-    val requestNames = HashMap<String, MutableSet<String>>()
+    /** Names of rental requests, each with the controller processes ([SimulatedCluster.Node.name]) that used it. */
+    val incarnationsByRequest = HashMap<String, MutableSet<String>>()
 
-    /** To be called each second: notes what a list that is asked for later will show. */
-    fun noteList() {
-        lists.addLast(cluster.now to listing())
-        while (lists.size > size.listed) lists.removeFirst()
+    /** Records the current listing, which later list requests may return. Must be called each second. */
+    fun recordListing() {
+        listings.addLast(cluster.now to listing())
+        while (listings.size > size.keptListings) listings.removeFirst()
     }
 
-    /** Notes that [life] of a controller sent [call], whether or not it arrives. */
-    fun noteName(
+    /** Records that the controller process [incarnation] sent [call], whether or not it arrives. */
+    fun recordRequestName(
         call: Call,
-        life: String,
+        incarnation: String,
     ) {
         if (call.path != "/rentals" || call.method != "POST") return
         val request = WireJson.decodeFromString(RentalRequest.serializer(), requireNotNull(call.body).decodeToString())
-        requestNames.getOrPut(request.request) { HashSet() } += life
+        incarnationsByRequest.getOrPut(request.request) { HashSet() } += incarnation
     }
 
     fun request(
@@ -56,7 +56,7 @@
         body: String,
         reply: (Int, ByteArray) -> Unit,
     ) {
-        if (out) return reply(503, """{"error":"trouble"}""".encodeToByteArray())
+        if (unavailable) return reply(503, """{"error":"trouble"}""".encodeToByteArray())
         val route = call.path.substringBefore('?')
         val text =
             when {
@@ -76,37 +76,37 @@
     private fun list(after: String): String {
         val lag = listLagUs * (1 + cluster.random.nextInt(2))
         val list =
-            lists
+            listings
                 .lastOrNull { it.first <= cluster.now - lag }
                 ?.second
                 .orEmpty()
                 .filter { it.id > after }
-        return WireJson.encodeToString(MachineListPage.serializer(), MachineListPage(list.take(PAGE), list.size > PAGE))
+        return WireJson.encodeToString(MachineListPage.serializer(), MachineListPage(list.take(PAGE_SIZE), list.size > PAGE_SIZE))
     }
 
     private fun rent(body: String): List<String> {
         val request = WireJson.decodeFromString(RentalRequest.serializer(), body)
-        return answered.getOrPut(request.request) {
-            val workers = cluster.workers.values
-            val spotUsed = workers.count { it.spot } + booting.values.count { it.spot }
-            val spotLeft = if (request.spot) size.spot - spotUsed else Int.MAX_VALUE
-            val left = size.machines - workers.size - booting.size
-            List(minOf(request.count, left, spotLeft).coerceAtLeast(0)) { begin(request) }
+        return machinesByRequest.getOrPut(request.request) {
+            val agents = cluster.agents.values
+            val spotUsed = agents.count { it.spot } + booting.values.count { it.spot }
+            val spotLeft = if (request.spot) size.spotMachines - spotUsed else Int.MAX_VALUE
+            val left = size.machines - agents.size - booting.size
+            List(minOf(request.count, left, spotLeft).coerceAtLeast(0)) { startBoot(request) }
         }
     }
 
-    private fun begin(request: RentalRequest): String {
-        val id = "host-%06d".format(++rented)
+    private fun startBoot(request: RentalRequest): String {
+        val id = "host-%06d".format(++rentedMachines)
         booting[id] = request
-        born[id] = cluster.now
-        val usual = size.boots.first + cluster.random.nextLong(size.boots.last - size.boots.first)
-        bootFactor(request)?.let { factor ->
+        rentedAt[id] = cluster.now
+        val usual = size.bootTimes.first + cluster.random.nextLong(size.bootTimes.last - size.bootTimes.first)
+        bootTimeFactor(request)?.let { factor ->
             cluster.after(usual * factor) { booting.remove(id)?.let { cluster.boot(id, it) } }
         }
         return id
     }
 
-    /** Forgets a machine that has not come up yet. */
+    /** Discards a machine that is still booting. */
     fun remove(id: String) {
         booting.remove(id)
     }
@@ -114,14 +114,14 @@
     private fun listing(): List<ListedMachine> {
         val all =
             booting.mapValues { (_, r) -> Triple(r.type, r.zone, r.spot) to RentalStage.BOOTING } +
-                cluster.workers.mapValues { (_, w) -> Triple(w.type, w.zone, w.spot) to RentalStage.RUNNING }
+                cluster.agents.mapValues { (_, w) -> Triple(w.type, w.zone, w.spot) to RentalStage.RUNNING }
         return all.toSortedMap().map { (id, kind) ->
             val (type, zone, spot) = kind.first
-            ListedMachine(id, null, type, zone, spot, kind.second, (cluster.now - born.getValue(id)).toDouble() / SECOND)
+            ListedMachine(id, null, type, zone, spot, kind.second, (cluster.now - rentedAt.getValue(id)).toDouble() / SECOND)
         }
     }
 
     private companion object {
-        const val PAGE = 500
+        const val PAGE_SIZE = 500
     }
 }
--- a/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedCluster.kt
@@ -25,14 +25,14 @@
 import java.util.PriorityQueue
 import java.util.SplittableRandom
 
-/** Three engines, a state service, a cloud, workers and users in one virtual time, with faults at will. */
+/** Deterministic simulation of three controllers, a state store, a cloud, agents and users in virtual time, with fault injection. */
 class SimulatedCluster(
     seed: Long,
     private val faultRates: FaultRates,
     private val size: ClusterSize = ClusterSize(),
     private val settingsOf: (Int) -> Settings,
 ) : TaskWatcher {
-    /** The controller of one process: some version of the engine. */
+    /** The engine of one controller process, possibly of another version. */
     fun interface Controller {
         fun step(
             now: Micros,
@@ -41,8 +41,8 @@
         ): List<Effect>
     }
 
-    /** What a process of a node runs when it starts. */
-    var controllerOf: (Node) -> Controller = { node -> Engine(node.settings, Operators(), random.split())::step.let(::Controller) }
+    /** Creates the engine of a node's process each time the process starts. */
+    var controllerFactory: (Node) -> Controller = { node -> Engine(node.settings, Operators(), random.split())::step.let(::Controller) }
 
     inner class Node(
         val index: Int,
@@ -50,46 +50,48 @@
         val settings = settingsOf(index)
         var engine: Controller? = null
         private val inbox = ArrayList<Event>()
-        private var life = 0
+        private var incarnation = 0
         var cutFromState = false
-        var cutFromWorkers = false
+        var cutFromAgents = false
         var cutFromPeers = false
 
-        /** Calls made and events taken, over all its lives. */
+        /** Calls made and events received by all processes of this node. */
         var calls = 0L
             private set
         var events = 0L
             private set
 
-        /** This controller's present life. */
-        val name: String get() = "${settings.node} #$life"
+        /** Unique name of the current process of this node. */
+        val name: String get() = "${settings.node} #$incarnation"
 
         fun start() {
-            engine = controllerOf(this)
-            life++
+            engine = controllerFactory(this)
+            incarnation++
             inbox.clear()
-            val mine = life
-            stepLoop(mine)
+            val ownIncarnation = incarnation
+            stepLoop(ownIncarnation)
         }
 
-        /** Pauses, while its clocks go on and what comes for it is kept. */
+        /** Pauses the process. Its clocks advance meanwhile, and events are queued. */
         fun pauseProcess(spanUs: Micros) {
             pausedUntilUs = now + spanUs
         }
 
         private var pausedUntilUs: Micros = 0
 
+        /** Ends the process, and starts a new one after [downUs]. */
         fun crash(downUs: Micros) {
             engine = null
             after(downUs) { if (engine == null) start() }
         }
 
-        private fun stepLoop(mine: Int) {
-            if (life != mine || engine == null) return
+        private fun stepLoop(ownIncarnation: Int) {
+            if (incarnation != ownIncarnation || engine == null) return
             if (now >= pausedUntilUs) step()
-            after(STEP) { stepLoop(mine) }
+            after(STEP) { stepLoop(ownIncarnation) }
         }
 
+        /** Queues [event] for the next step; returns false if the process is down. */
         fun deliver(event: Event): Boolean {
             if (engine == null) return false
             inbox += event
@@ -101,13 +103,13 @@
             val batch = inbox.toList()
             inbox.clear()
             events += batch.size
-            val mine = life
-            for (effect in engine.step(now + index * SECOND, WALL + now, batch)) {
+            val ownIncarnation = incarnation
+            for (effect in engine.step(now + index * SECOND, WALL_CLOCK_OFFSET + now, batch)) {
                 when (effect) {
                     is Effect.Send -> effect.reply.answer(effect.answer)
                     is Effect.Start -> {
                         calls++
-                        perform(this, effect.call) { if (life == mine) deliver(Event.CallDone(effect.id, it)) }
+                        perform(this, effect.call) { if (incarnation == ownIncarnation) deliver(Event.CallDone(effect.id, it)) }
                     }
                 }
             }
@@ -124,33 +126,33 @@
     val stateStoreFaults = StateStoreFaults(this)
     internal val userFaults by lazy { UserFaults(this) }
     val nodes = (0 until NODES).map { Node(it) }
-    val workers = LinkedHashMap<String, SimulatedAgent>()
+    val agents = LinkedHashMap<String, SimulatedAgent>()
 
     val cloud by lazy { SimulatedCloud(this, size, nodes[0].settings.listLagUs) }
 
-    /** The two zones can't reach each other. */
-    var zonesCut = false
+    /** Network partition between the two zones. */
+    var zonesPartitioned = false
 
-    /** A zone that is cut off from everything: from the other zone, the state service, the cloud and the users. */
-    var zoneOut: String? = null
+    /** A zone that is partitioned from the other zone, the state store, the cloud and the users. */
+    var isolatedZone: String? = null
 
-    /** How much longer than usual the answer to a controller's call takes. */
-    var slowAnswer: (Node, Call) -> Micros = { _, _ -> 0 }
+    /** Additional delay of the answer to a controller's call. */
+    var answerDelay: (Node, Call) -> Micros = { _, _ -> 0 }
 
-    /** Hears which jobs' last tasks are done, as that happens. */
-    var onLastTaskDone: (String) -> Unit = {}
+    /** Called with the job id when the last task of a job completes. */
+    var onJobCompleted: (String) -> Unit = {}
 
-    /** How much longer than usual a call is on its way. */
+    /** Additional delay of a controller's call before it arrives. */
     var linkDelay: (Node, Call) -> Micros = { _, _ -> 0 }
 
-    /** Which runs end with an error: by machine and task. */
-    var failing: (SimulatedAgent, String) -> Boolean = { _, _ -> false }
+    /** Whether a task fails when run on the given machine. */
+    var taskFails: (SimulatedAgent, String) -> Boolean = { _, _ -> false }
 
-    /** Run times of tasks that differ from their job's estimate. */
+    /** Run times of tasks that differ from the estimate of their job. */
     val runTimes = HashMap<String, Micros>()
 
-    /** Calls by the address of the machine that they were for. */
-    val callsTo = HashMap<String, Int>()
+    /** Number of calls that arrived at each machine address, including addresses of machines that are gone. */
+    val callsByAddress = HashMap<String, Int>()
 
     val rules =
         RuleChecker(
@@ -160,6 +162,7 @@
     val messageDelays = MessageDelays(this)
     private val users = SimulatedUsers(this)
 
+    /** Schedules [run] at [delay] from now. */
     fun after(
         delay: Micros,
         run: () -> Unit,
@@ -167,11 +170,12 @@
         timers += Timer(now + delay, order++, run)
     }
 
+    /** Advances virtual time to [untilUs]. */
     fun run(untilUs: Micros) {
         if (!started) {
             started = true
             nodes.forEach { it.start() }
-            worldLoop()
+            serviceLoop()
         }
         while (true) {
             val timer = timers.peek() ?: return
@@ -183,52 +187,52 @@
         now = untilUs
     }
 
-    private fun worldLoop() {
+    private fun serviceLoop() {
         state.tick(now)
         messageDelays.tick()
-        workers.values.toList().forEach { it.tick(now) }
+        agents.values.toList().forEach { it.tick(now) }
         rules.tick(now)
-        if (now % SECOND < TICK) {
-            cloud.noteList()
+        if (now % SECOND < SERVICE_TICK) {
+            cloud.recordListing()
         }
-        after(TICK) { worldLoop() }
+        after(SERVICE_TICK) { serviceLoop() }
     }
 
-    private fun hit(thousandths: Int): Boolean = thousandths > 0 && random.nextInt(1000) < thousandths
+    private fun occurs(thousandths: Int): Boolean = thousandths > 0 && random.nextInt(1000) < thousandths
 
-    internal fun delay(): Micros = MILLI + random.nextLong(4 * MILLI)
+    internal fun networkDelay(): Micros = MILLI + random.nextLong(4 * MILLI)
 
     private fun perform(
         from: Node,
         call: Call,
         done: (Outcome) -> Unit,
     ) {
-        if (call.target is Target.Cloud) cloud.noteName(call, from.name)
-        var open = true
-        val end: (Outcome) -> Unit = { outcome ->
-            if (open) {
-                open = false
+        if (call.target is Target.Cloud) cloud.recordRequestName(call, from.name)
+        var pending = true
+        val complete: (Outcome) -> Unit = { outcome ->
+            if (pending) {
+                pending = false
                 done(outcome)
             }
         }
-        after(call.timeoutUs) { end(Outcome.Unanswered) }
-        val cut =
-            ((zonesCut || zoneOut != null) && crossesZones(from, call.target)) ||
-                (from.settings.zone == zoneOut && (call.target is Target.State || call.target is Target.Cloud)) ||
+        after(call.timeoutUs) { complete(Outcome.Unanswered) }
+        val isLost =
+            ((zonesPartitioned || isolatedZone != null) && crossesZones(from, call.target)) ||
+                (from.settings.zone == isolatedZone && (call.target is Target.State || call.target is Target.Cloud)) ||
                 (from.cutFromState && call.target is Target.State) ||
                 (call.target is Target.Peer && peersCut(from, call.target)) ||
-                (from.cutFromWorkers && call.target is Target.Worker) ||
-                hit(faultRates.lost)
-        if (cut) return
-        // A packet that is held back arrives long after the sender has given up.
-        val usual = if (hit(faultRates.late)) 2 * SECOND + random.nextLong(20 * SECOND) else delay()
-        val travel = (messageDelays.travelUs(from, call) ?: usual) + linkDelay(from, call)
+                (from.cutFromAgents && call.target is Target.Worker) ||
+                occurs(faultRates.lost)
+        if (isLost) return
+        // A late request arrives 2 to 22 s after it was sent, which may be long after its call has timed out.
+        val usual = if (occurs(faultRates.late)) 2 * SECOND + random.nextLong(20 * SECOND) else networkDelay()
+        val travel = (messageDelays.commandTravelUs(from, call) ?: usual) + linkDelay(from, call)
         val reply: (Int, ByteArray) -> Unit = { status, body ->
-            messageDelays.arrived(call, status)
-            if (!hit(faultRates.lostAnswer)) after(delay() + slowAnswer(from, call)) { end(Outcome.Answered(status, body)) }
+            messageDelays.commandAnswered(call, status)
+            if (!occurs(faultRates.lostAnswer)) after(networkDelay() + answerDelay(from, call)) { complete(Outcome.Answered(status, body)) }
         }
-        val arrival: ((Int, ByteArray) -> Unit) -> Unit = { answered -> arrive(call, answered) { end(Outcome.NotSent) } }
-        after(travel) { if (call.target is Target.State) stateStoreFaults.pass(from, call, reply, arrival) else arrival(reply) }
+        val arrival: ((Int, ByteArray) -> Unit) -> Unit = { answered -> deliverCall(call, answered) { complete(Outcome.NotSent) } }
+        after(travel) { if (call.target is Target.State) stateStoreFaults.intercept(from, call, reply, arrival) else arrival(reply) }
     }
 
     private fun peersCut(
@@ -242,11 +246,11 @@
     ): Boolean =
         when (target) {
             is Target.Peer -> nodes.first { it.settings.peerApi.toString() == target.address }.settings.zone != from.settings.zone
-            is Target.Worker -> workers.values.firstOrNull { it.address == target.address }?.zone != from.settings.zone
+            is Target.Worker -> agents.values.firstOrNull { it.address == target.address }?.zone != from.settings.zone
             else -> false
         }
 
-    private fun arrive(
+    private fun deliverCall(
         call: Call,
         reply: (Int, ByteArray) -> Unit,
         refused: () -> Unit,
@@ -267,108 +271,110 @@
                 if (!peer.deliver(Event.Hint(hint, ReplyTo { reply(it.status, it.body) }))) refused()
             }
             is Target.Worker -> {
-                callsTo.merge(target.address, 1, Int::plus)
-                val worker = workers.values.firstOrNull { it.address == target.address } ?: return
+                callsByAddress.merge(target.address, 1, Int::plus)
+                val agent = agents.values.firstOrNull { it.address == target.address } ?: return
                 if (call.method ==
                     "GET"
                 ) {
-                    inspect(worker, reply)
+                    answerInspection(agent, reply)
                 } else {
-                    command(worker, WireJson.decodeFromString(CommandBatch.serializer(), body.decodeToString()), reply)
+                    deliverCommands(agent, WireJson.decodeFromString(CommandBatch.serializer(), body.decodeToString()), reply)
                 }
             }
         }
     }
 
-    private fun inspect(
-        worker: SimulatedAgent,
+    private fun answerInspection(
+        agent: SimulatedAgent,
         reply: (Int, ByteArray) -> Unit,
     ) {
-        if (now < worker.hangingUntilUs || worker.deaf) return
-        reply(200, WireJson.encodeToString(MachineReport.serializer(), worker.report(now)).encodeToByteArray())
+        if (now < agent.hangingUntilUs || agent.inboundLost) return
+        reply(200, WireJson.encodeToString(MachineReport.serializer(), agent.heartbeat(now)).encodeToByteArray())
     }
 
-    private fun command(
-        worker: SimulatedAgent,
+    private fun deliverCommands(
+        agent: SimulatedAgent,
         batch: CommandBatch,
         reply: (Int, ByteArray) -> Unit,
     ) {
-        if (workers[worker.id] !== worker) return
-        if (worker.deaf) return worker.miss(batch.commands, now)
-        // A hanging machine executes what it was sent when it carries on.
-        if (now < worker.hangingUntilUs) return after(worker.hangingUntilUs - now + MILLI) { command(worker, batch, reply) }
-        worker.tick(now)
-        val (status, report) = worker.direct(batch.token, batch.agentEpoch, batch.commands, now)
+        if (agents[agent.id] !== agent) return
+        if (agent.inboundLost) return agent.recordMissedStarts(batch.commands, now)
+        // A hanging machine executes the commands it was sent as soon as it resumes.
+        if (now < agent.hangingUntilUs) return after(agent.hangingUntilUs - now + MILLI) { deliverCommands(agent, batch, reply) }
+        agent.tick(now)
+        val (status, report) = agent.handleCommands(batch.token, batch.agentEpoch, batch.commands, now)
         reply(status, WireJson.encodeToString(MachineReport.serializer(), report).encodeToByteArray())
     }
 
-    /** A rented machine comes up; its worker reports to any controller first. */
+    /** Starts the agent of a rented machine, which sends its first heartbeat to a random controller. */
     fun boot(
         id: String,
         request: RentalRequest,
     ) {
         val number = id.takeLast(4).toInt()
         val address = "10.1.${number / 250}.${number % 250}:9000"
-        val worker = SimulatedAgent(id, address, request.type, request.zone, request.spot, nodes[0].settings.leaseUs, this, now)
-        workers[id] = worker
-        reportLoop(worker, random.nextInt(NODES), 0)
+        val agent = SimulatedAgent(id, address, request.type, request.zone, request.spot, nodes[0].settings.leaseUs, this, now)
+        agents[id] = agent
+        heartbeatLoop(agent, random.nextInt(NODES), 0)
     }
 
-    /** The machine is gone with everything on it. */
+    /** Removes a machine together with all its tasks. */
     fun remove(id: String) {
         cloud.remove(id)
-        workers.remove(id)?.kill(now)
+        agents.remove(id)?.kill(now)
     }
 
-    private fun reportLoop(
-        worker: SimulatedAgent,
+    private fun heartbeatLoop(
+        agent: SimulatedAgent,
         target: Int,
-        waitedUs: Micros,
+        sinceLastUs: Micros,
     ) {
-        if (workers[worker.id] !== worker) return
-        val due = waitedUs >= 3 * SECOND || (worker.changed && waitedUs >= SECOND / 2)
-        if (!due || now < worker.hangingUntilUs) return after(TICK) { reportLoop(worker, target, waitedUs + TICK) }
-        report(worker, target)
+        if (agents[agent.id] !== agent) return
+        val isDue = sinceLastUs >= 3 * SECOND || (agent.changed && sinceLastUs >= SECOND / 2)
+        if (!isDue || now < agent.hangingUntilUs) return after(SERVICE_TICK) { heartbeatLoop(agent, target, sinceLastUs + SERVICE_TICK) }
+        sendHeartbeat(agent, target)
     }
 
-    private fun report(
-        worker: SimulatedAgent,
+    private fun sendHeartbeat(
+        agent: SimulatedAgent,
         target: Int,
     ) {
         val node = nodes[target]
-        val message = worker.report(now)
+        val message = agent.heartbeat(now)
         val sent = now
-        messageDelays.reported(message)
-        if (hit(faultRates.copied)) after(2 * SECOND + random.nextLong(58 * SECOND)) { replay(message, nodes[random.nextInt(NODES)]) }
-        var open = true
+        messageDelays.heartbeatSent(message)
+        if (occurs(faultRates.duplicated)) {
+            after(2 * SECOND + random.nextLong(58 * SECOND)) { deliverDuplicate(message, nodes[random.nextInt(NODES)]) }
+        }
+        var pending = true
         val next: (Int, Micros) -> Unit = { to, pause ->
-            if (open) {
-                open = false
-                after(pause) { reportLoop(worker, to, 3 * SECOND) }
+            if (pending) {
+                pending = false
+                after(pause) { heartbeatLoop(agent, to, 3 * SECOND) }
             }
         }
         after(4 * SECOND) { next((target + 1) % NODES, SECOND) }
-        if (worker.mute ||
-            node.cutFromWorkers ||
-            ((zonesCut || zoneOut != null) && node.settings.zone != worker.zone) ||
-            hit(faultRates.lost)
+        if (agent.heartbeatsLost ||
+            node.cutFromAgents ||
+            ((zonesPartitioned || isolatedZone != null) && node.settings.zone != agent.zone) ||
+            occurs(faultRates.lost)
         ) {
             return
         }
-        val travel = if (hit(faultRates.late)) 5 * SECOND + random.nextLong(10 * SECOND) else delay()
+        val travel = if (occurs(faultRates.late)) 5 * SECOND + random.nextLong(10 * SECOND) else networkDelay()
         after(travel) {
             val delivered =
                 node.deliver(
                     Event.Report(
                         message,
                         ReplyTo { answer ->
-                            if (worker.deaf) {
-                                miss(worker, answer)
-                            } else if (!hit(faultRates.lostAnswer)) {
-                                after(delay()) {
-                                    if (open && workers[worker.id] === worker && now >= worker.hangingUntilUs) {
-                                        open = false
-                                        take(worker, target, message.agentEpoch, sent, answer)
+                            if (agent.inboundLost) {
+                                recordMissedStarts(agent, answer)
+                            } else if (!occurs(faultRates.lostAnswer)) {
+                                after(networkDelay()) {
+                                    if (pending && agents[agent.id] === agent && now >= agent.hangingUntilUs) {
+                                        pending = false
+                                        handleHeartbeatAnswer(agent, target, message.agentEpoch, sent, answer)
                                     }
                                 }
                             }
@@ -379,67 +385,67 @@
         }
     }
 
-    private fun miss(
-        worker: SimulatedAgent,
+    private fun recordMissedStarts(
+        agent: SimulatedAgent,
         answer: Answer,
     ) {
         if (answer.status ==
             200
         ) {
-            worker.miss(WireJson.decodeFromString(ReportAnswer.serializer(), answer.body.decodeToString()).commands, now)
+            agent.recordMissedStarts(WireJson.decodeFromString(ReportAnswer.serializer(), answer.body.decodeToString()).commands, now)
         }
     }
 
-    /** A copy of an old report arrives; nobody reads the answer. */
-    fun replay(
+    /** Delivers a copy of an old heartbeat to [node]; the answer is discarded. */
+    fun deliverDuplicate(
         message: MachineReport,
         node: Node,
     ) {
         node.deliver(Event.Report(message, ReplyTo { }))
     }
 
-    private fun take(
-        worker: SimulatedAgent,
+    private fun handleHeartbeatAnswer(
+        agent: SimulatedAgent,
         target: Int,
-        session: Long,
+        agentEpoch: Long,
         sentUs: Micros,
         answer: Answer,
     ) {
         when (answer.status) {
             200 -> {
                 val body = WireJson.decodeFromString(ReportAnswer.serializer(), answer.body.decodeToString())
-                worker.tick(now)
-                worker.answered(session, sentUs, body.token, body.commands, now)
-                after(TICK) { reportLoop(worker, target, TICK) }
+                agent.tick(now)
+                agent.handleHeartbeatAnswer(agentEpoch, sentUs, body.token, body.commands, now)
+                after(SERVICE_TICK) { heartbeatLoop(agent, target, SERVICE_TICK) }
             }
             421 -> {
                 val to = WireJson.decodeFromString(Misdirected.serializer(), answer.body.decodeToString()).controller
                 val index = nodes.indexOfFirst { it.settings.node == to }
                 if (index < 0 || index == target) {
-                    after(SECOND) { reportLoop(worker, (target + 1) % NODES, 3 * SECOND) }
+                    after(SECOND) { heartbeatLoop(agent, (target + 1) % NODES, 3 * SECOND) }
                 } else {
-                    after(random.nextLong(SECOND / 2)) { reportLoop(worker, index, 3 * SECOND) }
+                    after(random.nextLong(SECOND / 2)) { heartbeatLoop(agent, index, 3 * SECOND) }
                 }
             }
-            else -> after(SECOND) { reportLoop(worker, (target + 1) % NODES, 3 * SECOND) }
+            else -> after(SECOND) { heartbeatLoop(agent, (target + 1) % NODES, 3 * SECOND) }
         }
     }
 
-    /** A user who submits, repeats until accepted, and polls to the end. */
-    fun user(
+    /** Adds a user who submits [spec] until it is accepted, then polls it, and cancels it after [cancelAfterUs] if not null. */
+    fun addUser(
         spec: JobSpec,
         cancelAfterUs: Micros?,
-    ) = users.begin(spec, cancelAfterUs)
+    ) = users.submitAndPoll(spec, cancelAfterUs)
 
-    fun pollUnknown(id: String) = users.pollUnknown(id)
+    fun pollUnknownJob(id: String) = users.pollUnknownJob(id)
 
     override fun started(
         machine: SimulatedAgent,
         task: String,
         now: Micros,
-    ) = rules.started(task, RuleChecker.SimPlace(machine.id, machine.zone, machine.spot), now)
+    ) = rules.started(task, RuleChecker.TaskPlace(machine.id, machine.zone, machine.spot), now)
 
-    override fun left(
+    override fun ended(
         machine: SimulatedAgent,
         task: String,
         completed: Boolean,
@@ -447,8 +453,8 @@
     ) {
         val job = task.substringBeforeLast('/')
         val wasComplete = rules.isComplete(job)
-        rules.left(task, completed, now)
-        if (!wasComplete && rules.isComplete(job)) onLastTaskDone(job)
+        rules.ended(task, completed, now)
+        if (!wasComplete && rules.isComplete(job)) onJobCompleted(job)
     }
 
     override fun runTimeUs(task: String): Micros? {
@@ -460,12 +466,12 @@
     override fun fails(
         machine: SimulatedAgent,
         task: String,
-    ): Boolean = failing(machine, task)
+    ): Boolean = taskFails(machine, task)
 
     companion object {
         const val NODES = 3
         private const val STEP: Micros = 20 * MILLI
-        private const val TICK: Micros = 100 * MILLI
-        private const val WALL: Micros = 1_700_000_000 * SECOND
+        private const val SERVICE_TICK: Micros = 100 * MILLI
+        private const val WALL_CLOCK_OFFSET: Micros = 1_700_000_000 * SECOND
     }
 }
--- a/src/test/kotlin/mintpick/testing/SimulatedStateStore.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedStateStore.kt
@@ -14,9 +14,9 @@
 import mintpick.wire.WireJson
 import java.util.TreeMap
 
-/** Stand-in for the state service: consistent, with leases, transactions and a watch, as PROTOCOL describes it. */
+/** Simulates the state store as PROTOCOL describes it: consistent, with leases, transactions and a watch. */
 class SimulatedStateStore {
-    /** What one transaction and one second may carry. */
+    /** Limits of a value's size, of the changes in a transaction and of the changes per second. */
     data class StateLimits(
         val valueBytes: Int,
         val changes: Int,
@@ -29,7 +29,7 @@
         val lease: Long?,
     )
 
-    class Http(
+    class HttpAnswer(
         val status: Int,
         val body: String,
     )
@@ -37,43 +37,51 @@
     private class Watch(
         val since: Long,
         val untilUs: Micros,
-        val answer: (Http) -> Unit,
+        val answer: (HttpAnswer) -> Unit,
     )
 
     var revision = 0L
         private set
-    var out = false
 
-    /** Watches that begin before this revision are too old for the log. */
-    var oldestWatch = 0L
+    /** Outage: requests are answered with 503; open watches wait, and no lease expires. */
+    var unavailable = false
 
-    /** In which order a watch tells its changes. */
-    var order: (List<StateEvent>) -> List<StateEvent> = { it }
+    /** Watches that start before this revision are refused as compacted. */
+    var oldestWatchableRevision = 0L
 
-    /** What was asked of it, as the limits count. */
+    /** Order in which a watch delivers its events. */
+    var eventOrder: (List<StateEvent>) -> List<StateEvent> = { it }
+
+    /** Number of requests. */
     var requests = 0L
         private set
+
+    /** Number of requested changes, as the rate limit counts them, and the size of all transactions. */
     var writes = 0L
         private set
     var bytesWritten = 0L
         private set
 
-    /** How many of the latest changes a watch can still be told. */
-    var keptChanges = Int.MAX_VALUE
+    /** Number of the latest changes that are kept for watches. */
+    var retainedChanges = Int.MAX_VALUE
 
-    /** Watches that asked for changes no longer kept. */
-    var tooOld = 0
+    /** Number of watches that were refused because they requested changes no longer kept. */
+    var compactedWatches = 0
         private set
 
-    /** Limits of size and rate; null: none. */
+    /** Enforced limits; null: none. */
     var limits: StateLimits? = null
 
-    /** Requests refused for a limit, by what it was, and the largest value that was stored. */
-    val refused = HashMap<String, Int>()
+    /** Number of transactions refused for exceeding a limit, by limit: `value`, `changes`, `guards` or `rate`. */
+    val refusals = HashMap<String, Int>()
+
+    /** Length of the largest value stored so far. */
     var largestValue = 0
         private set
-    private var changesLeft = 0.0
-    private var changesAt: Micros = 0
+    private var changeBudget = 0.0
+    private var budgetUpdatedAt: Micros = 0
+
+    /** Requested changes by the second segment of the key, which is the kind of record. */
     val writesByKind = HashMap<String, Int>()
     private val items = TreeMap<String, Item>()
     private val log = ArrayList<StateEvent>()
@@ -82,10 +90,10 @@
     private val watches = ArrayList<Watch>()
 
     fun tick(now: Micros) {
-        limits?.let { changesLeft = minOf(it.changesPerSecond, changesLeft + (now - changesAt) * it.changesPerSecond / 1e6) }
-        changesAt = now
-        if (out) {
-            // Every lease has its full time again once the outage is over.
+        limits?.let { changeBudget = minOf(it.changesPerSecond, changeBudget + (now - budgetUpdatedAt) * it.changesPerSecond / 1e6) }
+        budgetUpdatedAt = now
+        if (unavailable) {
+            // Every lease starts over with its full duration when the outage ends.
             leases.replaceAll { _, (ttl, _) -> ttl to now + ttl }
             return
         }
@@ -93,13 +101,13 @@
             .filterValues { it.second <= now }
             .keys
             .toList()
-            .forEach { end(it) }
+            .forEach { expire(it) }
         val due = watches.filter { w -> now >= w.untilUs || log.any { it.version > w.since } }
         watches.removeAll(due)
         due.forEach { it.answer(events(it.since)) }
     }
 
-    private fun end(lease: Long) {
+    private fun expire(lease: Long) {
         leases.remove(lease)
         val keys = items.filterValues { it.lease == lease }.keys.toList()
         if (keys.isEmpty()) return
@@ -115,7 +123,7 @@
         method: String,
         path: String,
         body: String,
-        answer: (Http) -> Unit,
+        answer: (HttpAnswer) -> Unit,
     ) {
         val query =
             path.substringAfter('?', "").split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
@@ -124,35 +132,35 @@
         if (route == "/multi") bytesWritten += body.length
         if (route == "/follow") {
             val wait = (query["wait_ms"]?.toLong() ?: 0) * 1000
-            if (out && wait == 0L) return answer(Http(503, "{}"))
-            if (log.size > keptChanges && query.getValue("since").toLong() < log[log.size - keptChanges].version - 1) {
-                tooOld++
-                return answer(Http(410, "{}"))
+            if (unavailable && wait == 0L) return answer(HttpAnswer(503, "{}"))
+            if (log.size > retainedChanges && query.getValue("since").toLong() < log[log.size - retainedChanges].version - 1) {
+                compactedWatches++
+                return answer(HttpAnswer(410, "{}"))
             }
-            if (query.getValue("since").toLong() < oldestWatch) return answer(Http(410, "{}"))
+            if (query.getValue("since").toLong() < oldestWatchableRevision) return answer(HttpAnswer(410, "{}"))
             watches += Watch(query.getValue("since").toLong(), now + wait, answer)
             return
         }
-        if (out) return answer(Http(503, "{}"))
+        if (unavailable) return answer(HttpAnswer(503, "{}"))
         answer(
             when {
-                route == "/keys" -> page(query)
+                route == "/keys" -> listKeys(query)
                 route == "/multi" -> transact(WireJson.decodeFromString(Transaction.serializer(), body))
                 route == "/leases" && method == "POST" ->
                     grant(
                         now,
                         WireJson.decodeFromString(LeaseRequest.serializer(), body).ttlMs * 1000,
                     )
-                route.endsWith("/touch") -> touch(now, route.split('/')[2].toLong())
-                else -> Http(400, "{}")
+                route.endsWith("/touch") -> renew(now, route.split('/')[2].toLong())
+                else -> HttpAnswer(400, "{}")
             },
         )
     }
 
-    /** Keys with their values as text. */
+    /** All keys with their values as text. */
     fun keys(): List<Pair<String, String>> = items.map { it.key to it.value.value.toString() }
 
-    private fun page(query: Map<String, String>): Http {
+    private fun listKeys(query: Map<String, String>): HttpAnswer {
         val after = query["since"].orEmpty()
         val limit = query["limit"]?.toInt() ?: 1000
         val prefix = query["under"].orEmpty()
@@ -163,47 +171,47 @@
                 .entries
                 .take(limit + 1)
         val page = found.take(limit).map { StoredItem(it.key, it.value.value, it.value.version) }
-        return Http(200, WireJson.encodeToString(ItemPage.serializer(), ItemPage(page, found.size > limit, revision)))
+        return HttpAnswer(200, WireJson.encodeToString(ItemPage.serializer(), ItemPage(page, found.size > limit, revision)))
     }
 
     private fun events(since: Long) =
-        Http(200, WireJson.encodeToString(EventPage.serializer(), EventPage(revision, order(log.filter { it.version > since }))))
+        HttpAnswer(200, WireJson.encodeToString(EventPage.serializer(), EventPage(revision, eventOrder(log.filter { it.version > since }))))
 
     private fun grant(
         now: Micros,
         ttl: Micros,
-    ): Http {
+    ): HttpAnswer {
         leases[++lastLease] = ttl to now + ttl
-        return Http(200, WireJson.encodeToString(LeaseAnswer.serializer(), LeaseAnswer(lastLease)))
+        return HttpAnswer(200, WireJson.encodeToString(LeaseAnswer.serializer(), LeaseAnswer(lastLease)))
     }
 
-    private fun touch(
+    private fun renew(
         now: Micros,
         lease: Long,
-    ): Http {
-        val (ttl, _) = leases[lease] ?: return Http(404, "{}")
+    ): HttpAnswer {
+        val (ttl, _) = leases[lease] ?: return HttpAnswer(404, "{}")
         leases[lease] = ttl to now + ttl
-        return Http(200, "{}")
+        return HttpAnswer(200, "{}")
     }
 
-    fun transact(transaction: Transaction): Http {
-        refusal(transaction)?.let { return it }
+    fun transact(transaction: Transaction): HttpAnswer {
+        refuse(transaction)?.let { return it }
         writes += transaction.changes.size
         transaction.changes.forEach { writesByKind.merge((it.put ?: it.delete).orEmpty().split('/').getOrElse(1) { "" }, 1, Int::plus) }
         val failed = transaction.guards.filter { (items[it.key]?.version ?: 0) != it.version }.map { it.key }
         if (failed.isNotEmpty()) {
-            return Http(
+            return HttpAnswer(
                 409,
                 WireJson.encodeToString(TransactionAnswer.serializer(), TransactionAnswer(revision, failed)),
             )
         }
-        if (transaction.changes.any { it.lease != null && it.lease !in leases }) return Http(400, """{"error":"no such lease"}""")
+        if (transaction.changes.any { it.lease != null && it.lease !in leases }) return HttpAnswer(400, """{"error":"no such lease"}""")
         if (transaction.changes.isNotEmpty()) revision++
         transaction.changes.forEach(::apply)
-        return Http(200, WireJson.encodeToString(TransactionAnswer.serializer(), TransactionAnswer(revision)))
+        return HttpAnswer(200, WireJson.encodeToString(TransactionAnswer.serializer(), TransactionAnswer(revision)))
     }
 
-    private fun refusal(transaction: Transaction): Http? {
+    private fun refuse(transaction: Transaction): HttpAnswer? {
         val limits = limits ?: return null
         val largest =
             transaction.changes.maxOfOrNull {
@@ -217,15 +225,15 @@
                 largest > limits.valueBytes -> "value"
                 transaction.changes.size > limits.changes -> "changes"
                 transaction.guards.size > limits.changes * GUARDS_PER_CHANGE -> "guards"
-                changesLeft < transaction.changes.size -> "rate"
+                changeBudget < transaction.changes.size -> "rate"
                 else -> null
             }
         if (reason == null) {
-            changesLeft -= transaction.changes.size
+            changeBudget -= transaction.changes.size
             return null
         }
-        refused.merge(reason, 1, Int::plus)
-        return Http(if (reason == "rate") 429 else 400, """{"error":"$reason"}""")
+        refusals.merge(reason, 1, Int::plus)
+        return HttpAnswer(if (reason == "rate") 429 else 400, """{"error":"$reason"}""")
     }
 
     private fun apply(change: Change) {
--- a/src/test/kotlin/mintpick/testing/SimulatedUsers.kt
+++ b/src/test/kotlin/mintpick/testing/SimulatedUsers.kt
@@ -12,20 +12,20 @@
 import mintpick.wire.JobStatus
 import mintpick.wire.WireJson
 
-/** The world's users: they keep asking, and what they are told goes to the rules. */
+/** Simulates users who poll their jobs, and passes the answers to the [RuleChecker]. */
 internal class SimulatedUsers(
     private val cluster: SimulatedCluster,
 ) {
     private val rules get() = cluster.rules
 
-    /** One who submits, repeats until accepted, and polls to the end. */
-    fun begin(
+    /** Submits [spec] until it is accepted, then polls it, and cancels it after [cancelAfterUs] if not null. */
+    fun submitAndPoll(
         spec: JobSpec,
         cancelAfterUs: Micros?,
     ) {
-        // Users name only jobs that were accepted.
+        // Users name only accepted jobs as predecessors.
         if (!spec.predecessors.orEmpty().all(rules::isAccepted)) {
-            cluster.after(FOLLOW_UP) { begin(spec, cancelAfterUs) }
+            cluster.after(PREDECESSOR_POLL) { submitAndPoll(spec, cancelAfterUs) }
             return
         }
         rules.submitted(spec, cluster.now)
@@ -34,12 +34,12 @@
     }
 
     private fun submit(spec: JobSpec) {
-        ask({ Event.Submit(spec, it) }) { answer ->
-            rules.refused(spec.id, answer?.status ?: 0)
+        send({ Event.Submit(spec, it) }) { answer ->
+            rules.requestRefused(spec.id, answer?.status ?: 0)
             if (answer?.status in listOf(200, 201)) {
-                told(spec.id, answer)
+                recordStage(spec.id, answer)
                 poll(spec.id)
-                // Repeats may come at any later time.
+                // Duplicates of a submission may arrive at any later time.
                 if (cluster.random.nextInt(3) == 0) cluster.after(cluster.random.nextLong(20 * SECOND)) { resubmit(spec) }
             } else {
                 cluster.after(SECOND) { submit(spec) }
@@ -48,77 +48,80 @@
     }
 
     private fun resubmit(spec: JobSpec) {
-        val asked = cluster.now
-        ask({ Event.Submit(spec, it) }) { answer ->
-            rules.refused(spec.id, answer?.status ?: 0)
-            if (answer?.status in listOf(200, 201)) told(spec.id, answer, asked)
+        val requestedUs = cluster.now
+        send({ Event.Submit(spec, it) }) { answer ->
+            rules.requestRefused(spec.id, answer?.status ?: 0)
+            if (answer?.status in listOf(200, 201)) recordStage(spec.id, answer, requestedUs)
         }
     }
 
     private fun poll(id: String) {
-        val asked = cluster.now
-        rules.asked(id, asked)
-        ask({ Event.Poll(JobId(id), it) }) { answer ->
-            if (answer?.status == 200) rules.answered(id)
+        val requestedUs = cluster.now
+        rules.polled(id, requestedUs)
+        send({ Event.Poll(JobId(id), it) }) { answer ->
+            if (answer?.status == 200) rules.pollAnswered(id)
             when (answer?.status) {
                 200 ->
-                    rules.told(
+                    rules.jobAnswered(
                         id,
                         WireJson.decodeFromString(JobStatus.serializer(), answer.body.decodeToString()).stage,
                         cluster.now,
-                        asked,
+                        requestedUs,
                     )
-                404 -> rules.told(id, null, cluster.now, asked)
+                404 -> rules.jobAnswered(id, null, cluster.now, requestedUs)
                 else -> Unit
             }
             cluster.after(2 * SECOND) { poll(id) }
         }
     }
 
-    fun pollUnknown(id: String) = ask({ Event.Poll(JobId(id), it) }) { if (it?.status == 200) rules.told(id, JobStage.QUEUED, cluster.now) }
+    /** Polls a job that was never submitted, which must not be found. */
+    fun pollUnknownJob(id: String) =
+        send({ Event.Poll(JobId(id), it) }) { if (it?.status == 200) rules.jobAnswered(id, JobStage.QUEUED, cluster.now) }
 
     private fun cancel(id: String) {
         if (!rules.isAccepted(id)) return cluster.after(SECOND) { cancel(id) }
         rules.cancelRequested(id)
-        ask({ Event.Cancel(JobId(id), it) }) { answer ->
-            if (answer?.status == 200) told(id, answer) else cluster.after(SECOND) { cancel(id) }
+        send({ Event.Cancel(JobId(id), it) }) { answer ->
+            if (answer?.status == 200) recordStage(id, answer) else cluster.after(SECOND) { cancel(id) }
         }
     }
 
-    private fun told(
+    private fun recordStage(
         id: String,
         answer: Answer?,
-        askedUs: Micros = cluster.now,
+        requestedUs: Micros = cluster.now,
     ) {
         val body = answer?.body?.decodeToString() ?: return
-        rules.told(id, WireJson.decodeFromString(JobAnswer.serializer(), body).stage, cluster.now, askedUs)
+        rules.jobAnswered(id, WireJson.decodeFromString(JobAnswer.serializer(), body).stage, cluster.now, requestedUs)
     }
 
-    private fun ask(
+    private fun send(
         event: (ReplyTo) -> Event,
         then: (Answer?) -> Unit,
     ) {
-        val up = cluster.nodes.filter { it.engine != null && it.settings.zone != cluster.zoneOut }
-        if (up.isEmpty()) return cluster.after(SECOND) { then(null) }
-        var open = true
-        val end: (Answer?) -> Unit = {
-            if (open) {
-                open = false
+        val reachable = cluster.nodes.filter { it.engine != null && it.settings.zone != cluster.isolatedZone }
+        if (reachable.isEmpty()) return cluster.after(SECOND) { then(null) }
+        var pending = true
+        val complete: (Answer?) -> Unit = {
+            if (pending) {
+                pending = false
                 then(it)
             }
         }
-        cluster.after(5 * SECOND) { end(null) }
-        val node = up[cluster.random.nextInt(up.size)]
-        cluster.after(cluster.delay()) { node.deliver(event(ReplyTo { answer -> cluster.after(cluster.delay()) { end(answer) } })) }
+        cluster.after(5 * SECOND) { complete(null) }
+        val node = reachable[cluster.random.nextInt(reachable.size)]
+        val reply = ReplyTo { answer -> cluster.after(cluster.networkDelay()) { complete(answer) } }
+        cluster.after(cluster.networkDelay()) { node.deliver(event(reply)) }
     }
 
     private companion object {
-        /** How soon a job of a pipeline follows those that it needs. */
-        const val FOLLOW_UP: Micros = SECOND / 50
+        /** Interval of checks whether all predecessors are accepted. */
+        const val PREDECESSOR_POLL: Micros = SECOND / 50
     }
 }
 
-/** Submits [spec] to one controller, once; [then] hears the status of the answer. */
+/** Submits [spec] to controller [node] once; [then] receives the status of the answer. */
 internal fun SimulatedCluster.submitTo(
     node: Int,
     spec: JobSpec,
--- a/src/test/kotlin/mintpick/testing/StateStoreFaults.kt
+++ b/src/test/kotlin/mintpick/testing/StateStoreFaults.kt
@@ -8,12 +8,12 @@
 import mintpick.wire.WireJson
 import java.util.SplittableRandom
 
-/** What goes wrong between the controllers and the state service. All odds are thousandths. */
+/** Faults between the controllers and the state store. All rates are in thousandths. */
 class StateStoreFaults(
     private val cluster: SimulatedCluster,
 ) {
-    /** A transaction that got no answer; [status] is what became of it, null as long as it is under way. */
-    class Lost(
+    /** A transaction without an answer. [status] is the store's answer, null until the transaction is executed. */
+    class LostTransaction(
         val node: String,
         val transaction: Transaction,
         var status: Int? = null,
@@ -21,87 +21,93 @@
 
     private val random = SplittableRandom(4711)
 
-    /** Transactions that are carried out [lateUs] later, or at once if [atOnce], and get no answer. */
-    var lost = 0
-    var atOnce = false
-    var lateUs: LongRange = LATE_LEAST..LATE_MOST
+    /** Rate of transactions that get no answer. They are executed after [applyDelayUs], or immediately if [appliesImmediately]. */
+    var lossRate = 0
+    var appliesImmediately = false
+    var applyDelayUs: LongRange = MIN_APPLY_DELAY..MAX_APPLY_DELAY
 
-    /** Hears which of them took effect, as that happens. */
-    var onCarriedOut: (Lost) -> Unit = {}
+    /** Called when a transaction without an answer takes effect. */
+    var onApplied: (LostTransaction) -> Unit = {}
 
-    /** Which transactions may be lost. */
-    var picks: (SimulatedCluster.Node, Transaction) -> Boolean = { _, _ -> true }
+    /** Selects the transactions that may get no answer. */
+    var mayLose: (SimulatedCluster.Node, Transaction) -> Boolean = { _, _ -> true }
 
-    /** Answers that take hundreds of milliseconds up to three seconds; watches too. */
-    var slow = 0
+    /** Rate of requests, including watches, that take 200 ms to 3 s. */
+    var slowRate = 0
 
-    /** Is refused while the others are served: its open watches wait, and its leases run out. */
-    var refused: SimulatedCluster.Node? = null
-    val lostTransactions = ArrayList<Lost>()
+    /** Controller whose requests are refused while the others are served. Its open watches wait, and its leases expire. */
+    var refusedNode: SimulatedCluster.Node? = null
+    val lostTransactions = ArrayList<LostTransaction>()
+
+    /** Number of requests slowed down by [slowRate]. */
     var slowAnswers = 0
         private set
 
-    /** Those that took effect after the given status came of them. */
-    fun carriedOut(): List<Lost> = lostTransactions.filter { it.status == OK }
+    /** Transactions without an answer that have taken effect. */
+    fun applied(): List<LostTransaction> = lostTransactions.filter { it.status == OK }
 
-    /** A request has arrived: [arrival] carries it out and gives the answer to whom it is passed. */
-    internal fun pass(
+    /** Handles the arrival of a request. [execute] executes it and passes the answer to its argument; [reply] answers [from]. */
+    internal fun intercept(
         from: SimulatedCluster.Node,
         call: Call,
         reply: (Int, ByteArray) -> Unit,
-        arrival: ((Int, ByteArray) -> Unit) -> Unit,
+        execute: ((Int, ByteArray) -> Unit) -> Unit,
     ) {
         val isWatch = call.path.startsWith("/follow") && !call.path.endsWith("wait_ms=0")
-        if (refused === from) {
-            return if (isWatch) cluster.after(HELD) { pass(from, call, reply, arrival) } else reply(REFUSED, ByteArray(0))
+        if (refusedNode === from) {
+            return if (isWatch) cluster.after(WATCH_RETRY) { intercept(from, call, reply, execute) } else reply(REFUSED, ByteArray(0))
         }
-        if (call.path == "/multi" && lose(from, call, arrival)) return
-        if (!hit(slow)) return arrival { status, body -> give(from, isWatch, call, arrival, status, body, reply) }
+        if (call.path == "/multi" && loseIfDrawn(from, call, execute)) return
+        if (!occurs(slowRate)) return execute { status, body -> replyUnlessRefused(from, isWatch, call, execute, status, body, reply) }
         slowAnswers++
-        val delay = SLOW_LEAST + random.nextLong(SLOW_MOST - SLOW_LEAST)
-        // Either way counts: what is carried out at once and answered late, and what is carried out late.
-        if (random.nextBoolean()) cluster.after(delay) { arrival(reply) } else arrival { s, b -> cluster.after(delay) { reply(s, b) } }
+        val delay = MIN_SLOW + random.nextLong(MAX_SLOW - MIN_SLOW)
+        // Both cases matter: a request executed at once and answered late, and one executed late.
+        if (random.nextBoolean()) cluster.after(delay) { execute(reply) } else execute { s, b -> cluster.after(delay) { reply(s, b) } }
     }
 
-    /** A watch that was open when its controller came to be refused tells nothing until that is over. */
-    private fun give(
+    /** Answers the request. A watch whose controller is now refused is repeated until it no longer is. */
+    private fun replyUnlessRefused(
         from: SimulatedCluster.Node,
         isWatch: Boolean,
         call: Call,
-        arrival: ((Int, ByteArray) -> Unit) -> Unit,
+        execute: ((Int, ByteArray) -> Unit) -> Unit,
         status: Int,
         body: ByteArray,
         reply: (Int, ByteArray) -> Unit,
-    ) = if (isWatch && refused === from) pass(from, call, reply, arrival) else reply(status, body)
+    ) = if (isWatch && refusedNode === from) intercept(from, call, reply, execute) else reply(status, body)
 
-    private fun lose(
+    private fun loseIfDrawn(
         from: SimulatedCluster.Node,
         call: Call,
-        arrival: ((Int, ByteArray) -> Unit) -> Unit,
+        execute: ((Int, ByteArray) -> Unit) -> Unit,
     ): Boolean {
-        if (lost == 0) return false
+        if (lossRate == 0) return false
         val transaction = WireJson.decodeFromString(Transaction.serializer(), requireNotNull(call.body).decodeToString())
-        if (!picks(from, transaction) || !hit(lost)) return false
-        val noted = Lost(from.name, transaction).also { lostTransactions += it }
-        val carryOut = {
-            arrival { status, _ ->
-                noted.status = status
-                if (status == OK) onCarriedOut(noted)
+        if (!mayLose(from, transaction) || !occurs(lossRate)) return false
+        val lost = LostTransaction(from.name, transaction).also { lostTransactions += it }
+        val applyTransaction = {
+            execute { status, _ ->
+                lost.status = status
+                if (status == OK) onApplied(lost)
             }
         }
-        if (atOnce) carryOut() else cluster.after(lateUs.first + random.nextLong(lateUs.last - lateUs.first), carryOut)
+        if (appliesImmediately) {
+            applyTransaction()
+        } else {
+            cluster.after(applyDelayUs.first + random.nextLong(applyDelayUs.last - applyDelayUs.first), applyTransaction)
+        }
         return true
     }
 
-    private fun hit(thousandths: Int): Boolean = thousandths > 0 && random.nextInt(1000) < thousandths
+    private fun occurs(thousandths: Int): Boolean = thousandths > 0 && random.nextInt(1000) < thousandths
 
     private companion object {
         const val OK = 200
         const val REFUSED = 503
-        const val HELD: Micros = 100 * MILLI
-        const val SLOW_LEAST: Micros = 200 * MILLI
-        const val SLOW_MOST: Micros = 3 * SECOND
-        const val LATE_LEAST: Micros = 2 * SECOND
-        const val LATE_MOST: Micros = 12 * SECOND
+        const val WATCH_RETRY: Micros = 100 * MILLI
+        const val MIN_SLOW: Micros = 200 * MILLI
+        const val MAX_SLOW: Micros = 3 * SECOND
+        const val MIN_APPLY_DELAY: Micros = 2 * SECOND
+        const val MAX_APPLY_DELAY: Micros = 12 * SECOND
     }
 }
--- a/src/test/kotlin/mintpick/testing/StoredRecords.kt
+++ b/src/test/kotlin/mintpick/testing/StoredRecords.kt
@@ -13,17 +13,17 @@
 import mintpick.wire.MachineRecord
 import mintpick.wire.WireJson
 
-/** Who leads, with the lease that the claim hangs on. */
-internal fun SimulatedCluster.leadership(): ClaimRecord? =
+/** The leader's claim with its lease; null if there is none. */
+internal fun SimulatedCluster.leaderClaim(): ClaimRecord? =
     state
         .keys()
         .firstOrNull { it.first == Keys.LEADER }
         ?.let { WireJson.decodeFromString(ClaimRecord.serializer(), it.second) }
 
 /** The controller that leads. */
-internal fun SimulatedCluster.leader(): SimulatedCluster.Node = nodes.first { it.settings.node == leadership()?.node }
+internal fun SimulatedCluster.leader(): SimulatedCluster.Node = nodes.first { it.settings.node == leaderClaim()?.node }
 
-/** Machines that the record at [key] names, in whichever format it is written. */
+/** Machines that the record at [key] with value [text] refers to, in any record format. */
 internal fun SimulatedCluster.machinesIn(
     key: String,
     text: String,
@@ -49,53 +49,54 @@
 
 private fun machinesOf(chunk: Chunk): Set<String> = chunk.placed.values.mapTo(HashSet()) { it.machine.text }
 
-/** Keys of all records that name [machine], in whichever format they are written. */
+/** Keys of all records that refer to [machine], in any record format. */
 internal fun SimulatedCluster.recordsNaming(machine: String): Set<String> =
     state
         .keys()
         .filter { (key, text) -> machine in key || machine in text || machine in machinesIn(key, text) }
         .mapTo(HashSet()) { it.first }
 
-/** What the list of machines says of [machine]; null if it is not listed. */
-internal fun SimulatedCluster.listed(machine: String): MachineRecord? =
+/** Record of [machine] in the stored machine list; null if it is not listed. */
+internal fun SimulatedCluster.listedRecord(machine: String): MachineRecord? =
     state
         .keys()
         .filter { Keys.parse(it.first) is Keys.Subject.MachineList }
         .firstNotNullOfOrNull { RecordCodec.decodeMachineList(WireJson.parseToJsonElement(it.second))[MachineId(machine)] }
 
-/** Tasks that have completed while the records count none of their jobs as done. */
-internal fun SimulatedCluster.unwritten(
+/** Tasks that have completed on an agent while [doneCounts] has no completion of their job, considering task 0 of each of [jobs]. */
+internal fun SimulatedCluster.unrecordedCompletions(
     jobs: List<JobSpec>,
-    done: Map<String, Int>,
-): List<String> = jobs.filter { (done[it.id] ?: 0) == 0 }.map { "${it.id}/0" }.filter(rules::isCompleted)
+    doneCounts: Map<String, Int>,
+): List<String> = jobs.filter { (doneCounts[it.id] ?: 0) == 0 }.map { "${it.id}/0" }.filter(rules::isCompleted)
 
-/** What the records show as done never becomes less. */
-internal fun SimulatedCluster.checkRecord(
+/** Checks that the recorded number of done tasks of [job] never decreases; [doneCounts] holds the last numbers seen. */
+internal fun SimulatedCluster.checkDoneCount(
     job: JobSpec,
-    done: MutableMap<String, Int>,
+    doneCounts: MutableMap<String, Int>,
 ) {
     val text = state.keys().firstOrNull { it.first == Keys.job(job.id) }?.second ?: return
     val record = RecordCodec.decodeJob(WireJson.parseToJsonElement(text))
     if (record.spec == null) return
-    val now = RecordCodec.job(JobId(job.id), record, 1, emptyMap())?.doneCount ?: return
-    if (now < (done[job.id] ?: 0)) rules.breaches += "went_back: ${job.id} has $now done instead of ${done[job.id]}"
-    done[job.id] = now
+    val doneCount = RecordCodec.job(JobId(job.id), record, 1, emptyMap())?.doneCount ?: return
+    if (doneCount < (doneCounts[job.id] ?: 0)) rules.breaches += "went_back: ${job.id} has $doneCount done instead of ${doneCounts[job.id]}"
+    doneCounts[job.id] = doneCount
 }
 
-/** As `Ownership.part` works it out. */
-private fun part(name: String): Int = Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
+/** Partition of a machine within its zone; must equal `ShardDirectory.partition`. */
+private fun partitionOf(name: String): Int =
+    Math.floorMod(Hashing.murmur3_32_fixed().hashUnencodedChars(name).asInt(), ShardClaims.PARTITIONS)
 
-/** The shard of a machine, whose claim gives the right to command it. */
-internal fun SimulatedCluster.shardOf(worker: SimulatedAgent): Int =
-    nodes[0].settings.zones.indexOf(worker.zone) * ShardClaims.PARTITIONS + part(worker.id)
+/** Shard of a machine. The owner of the shard may send commands to the machine. */
+internal fun SimulatedCluster.shardOf(agent: SimulatedAgent): Int =
+    nodes[0].settings.zones.indexOf(agent.zone) * ShardClaims.PARTITIONS + partitionOf(agent.id)
 
-/** Shards with machines in them that [node] claims. */
-internal fun SimulatedCluster.shardsInUse(node: SimulatedCluster.Node): Int =
-    workers.values.map(::shardOf).distinct().count { shard ->
+/** Number of shards owned by [node] that contain machines. */
+internal fun SimulatedCluster.occupiedShardCount(node: SimulatedCluster.Node): Int =
+    agents.values.map(::shardOf).distinct().count { shard ->
         val claim = state.keys().firstOrNull { it.first == Keys.shard(shard) }?.second
         claim != null && WireJson.decodeFromString(ClaimRecord.serializer(), claim).node == node.settings.node
     }
 
-/** Shards that [node] claims. */
-internal fun SimulatedCluster.claimsOf(node: SimulatedCluster.Node): Int =
+/** Number of shards owned by [node]. */
+internal fun SimulatedCluster.claimedShardCount(node: SimulatedCluster.Node): Int =
     state.keys().count { it.first.startsWith(Keys.shard(0).dropLast(1)) && node.settings.node in it.second }
--- a/src/test/kotlin/mintpick/testing/UserFaults.kt
+++ b/src/test/kotlin/mintpick/testing/UserFaults.kt
@@ -19,22 +19,24 @@
 import org.http4k.core.Response
 import org.http4k.core.Status
 
-/** Users who ask through the HTTP routes of a chosen node, at chosen moments; what they are told goes to the rules. */
+/** Simulates users who call the HTTP routes of a given node at given times, and passes the answers to the [RuleChecker]. */
 internal class UserFaults(
     private val cluster: SimulatedCluster,
 ) {
     private val rules get() = cluster.rules
-    private val routes = cluster.nodes.map { node -> Routes({ node.deliver(it) }, { true }, MAX_WAITING) { cluster.now } }
+    private val routes = cluster.nodes.map { node -> Routes({ node.deliver(it) }, { true }, MAX_WAITING_REQUESTS) { cluster.now } }
 
-    /** Answers by what was asked and their status. */
-    val answers = HashMap<String, Int>()
+    /** Number of answers by kind of request and status, such as `poll 200`. */
+    val answerCounts = HashMap<String, Int>()
 
-    /** Jobs that were cancelled while they ran, and those at the moment of their end. */
+    /** Jobs cancelled while running, by [cancelNow]. */
     val cancelledRunning = ArrayList<String>()
+
+    /** Jobs cancelled when their last task completed, by [cancelAtEnd]. */
     val cancelledAtEnd = ArrayList<String>()
 
-    /** Machines of tasks that were cancelled, which hung for a while. */
-    val hung = ArrayList<String>()
+    /** Machines that [cancelNow] made hang. */
+    val hungMachines = ArrayList<String>()
 
     private fun send(
         kind: String,
@@ -42,16 +44,18 @@
         request: Request,
         then: (Response) -> Unit,
     ) {
-        var open = true
-        val end: (Response) -> Unit = { response ->
-            if (open) {
-                open = false
-                answers.merge("$kind ${response.status.code}", 1, Int::plus)
+        var pending = true
+        val complete: (Response) -> Unit = { response ->
+            if (pending) {
+                pending = false
+                answerCounts.merge("$kind ${response.status.code}", 1, Int::plus)
                 then(response)
             }
         }
-        cluster.after(PATIENCE) { end(Response(Status.GATEWAY_TIMEOUT)) }
-        cluster.after(cluster.delay()) { routes[node].api(request) { response -> cluster.after(cluster.delay()) { end(response) } } }
+        cluster.after(TIMEOUT) { complete(Response(Status.GATEWAY_TIMEOUT)) }
+        cluster.after(cluster.networkDelay()) {
+            routes[node].api(request) { response -> cluster.after(cluster.networkDelay()) { complete(response) } }
+        }
     }
 
     private fun stageIn(response: Response): JobStage {
@@ -59,15 +63,15 @@
         return WireJson.decodeFromJsonElement(JobStage.serializer(), stage)
     }
 
-    private fun tell(
+    private fun recordAnswer(
         job: String,
         response: Response,
-        askedUs: Micros,
+        requestedUs: Micros,
     ) {
         when (response.status.code) {
-            200, 201 -> rules.told(job, stageIn(response), cluster.now, askedUs)
-            404 -> rules.told(job, null, cluster.now, askedUs)
-            else -> rules.refused(job, response.status.code)
+            200, 201 -> rules.jobAnswered(job, stageIn(response), cluster.now, requestedUs)
+            404 -> rules.jobAnswered(job, null, cluster.now, requestedUs)
+            else -> rules.requestRefused(job, response.status.code)
         }
     }
 
@@ -76,8 +80,8 @@
         node: Int,
         kind: String = "poll",
     ) {
-        val asked = cluster.now
-        send(kind, node, Request(Method.GET, "/api/jobs/$job")) { tell(job, it, asked) }
+        val requestedUs = cluster.now
+        send(kind, node, Request(Method.GET, "/api/jobs/$job")) { recordAnswer(job, it, requestedUs) }
     }
 
     fun submit(
@@ -87,24 +91,24 @@
         kind: String = "submit",
         then: (Response) -> Unit = {},
     ) {
-        val asked = cluster.now
+        val requestedUs = cluster.now
         send(kind, node, Request(Method.POST, "/api/jobs").body(MemoryBody(body))) {
-            tell(job, it, asked)
+            recordAnswer(job, it, requestedUs)
             then(it)
         }
     }
 
-    /** Asks until it is answered, as users do. */
+    /** Requests the cancellation of [job] until it succeeds, trying the nodes in turn. */
     fun cancel(
         job: String,
         node: Int,
         then: () -> Unit = {},
     ) {
         rules.cancelRequested(job)
-        val asked = cluster.now
+        val requestedUs = cluster.now
         send("cancel", node, Request(Method.POST, "/api/jobs/$job/cancel")) { response ->
             if (response.status.code == 200) {
-                tell(job, response, asked)
+                recordAnswer(job, response, requestedUs)
                 then()
             } else {
                 cluster.after(SECOND) { cancel(job, (node + 1) % SimulatedCluster.NODES, then) }
@@ -114,8 +118,8 @@
 
     fun bodyOf(spec: JobSpec): String = WireJson.encodeToString(JobSpec.serializer(), spec)
 
-    /** Questions at all nodes, and a repeated submission, again and again within milliseconds. */
-    fun lookClosely(spec: JobSpec) {
+    /** Polls all nodes and resubmits [spec] several times within 120 ms. */
+    fun pollRepeatedly(spec: JobSpec) {
         for (at in listOf(0L, 1, 2, 4, 8, 15, 40, 120)) {
             for (node in 0 until SimulatedCluster.NODES) {
                 cluster.after(at * MILLI) { poll(spec.id, node, "look") }
@@ -124,15 +128,18 @@
         }
     }
 
-    /** Submits [spec], looks closely once it is accepted and once it has ended, and may call it off after that. */
-    fun begin(
+    /**
+     * Submits [spec] until it is accepted, polls it until it ends, and cancels it [cancelAfterUs] after its acceptance
+     * if not null. After each of these changes it polls repeatedly within milliseconds.
+     */
+    fun submitAndPoll(
         spec: JobSpec,
         cancelAfterUs: Micros?,
     ) {
         rules.submitted(spec, cluster.now)
         submitUntilAccepted(spec) {
-            lookClosely(spec)
-            if (cancelAfterUs != null) cluster.after(cancelAfterUs) { cancel(spec.id, anyNode()) { lookClosely(spec) } }
+            pollRepeatedly(spec)
+            if (cancelAfterUs != null) cluster.after(cancelAfterUs) { cancel(spec.id, randomNode()) { pollRepeatedly(spec) } }
             pollToEnd(spec)
         }
     }
@@ -141,31 +148,34 @@
         spec: JobSpec,
         then: () -> Unit,
     ) {
-        submit(spec.id, bodyOf(spec), anyNode()) { response ->
+        submit(spec.id, bodyOf(spec), randomNode()) { response ->
             if (response.status.code in ACCEPTED) then() else cluster.after(SECOND) { submitUntilAccepted(spec, then) }
         }
     }
 
     private fun pollToEnd(spec: JobSpec) {
-        if (rules.isFinal(spec.id)) return lookClosely(spec)
-        poll(spec.id, anyNode())
+        if (rules.isFinal(spec.id)) return pollRepeatedly(spec)
+        poll(spec.id, randomNode())
         cluster.after(SECOND) { pollToEnd(spec) }
     }
 
-    private fun anyNode(): Int = cluster.random.nextInt(SimulatedCluster.NODES)
+    private fun randomNode(): Int = cluster.random.nextInt(SimulatedCluster.NODES)
 
-    /** Submissions that can't be accepted, in turn: without a field, with one of a wrong type, and jobs that fit nowhere. */
-    fun oddRequests(
+    /**
+     * Submits variants of [spec] that must be rejected: with a field missing, null or of a wrong type, and jobs that
+     * can't run. They are numbered from [firstId]; returns the next free number.
+     */
+    fun submitInvalid(
         spec: JobSpec,
         firstId: Int,
     ): Int {
         var id = firstId
-        val fresh: (JobSpec) -> JobSpec = { it.copy(id = "req-%06d".format(id++)).also { odd -> rules.neverAccept(odd.id) } }
+        val fresh: (JobSpec) -> JobSpec = { it.copy(id = "req-%06d".format(id++)).also { invalid -> rules.expectRejection(invalid.id) } }
         val whole: (JobSpec) -> JsonObject = { WireJson.encodeToJsonElement(JobSpec.serializer(), it).jsonObject }
         for (broken in malformed(whole(spec))) {
-            val odd = fresh(spec)
-            rules.submitted(odd, cluster.now)
-            submit(odd.id, JsonObject(broken + ("id" to JsonPrimitive(odd.id))).toString(), anyNode(), "malformed")
+            val invalid = fresh(spec)
+            rules.submitted(invalid, cluster.now)
+            submit(invalid.id, JsonObject(broken + ("id" to JsonPrimitive(invalid.id))).toString(), randomNode(), "malformed")
         }
         for (job in listOf(
             spec.copy(team = "nobody"),
@@ -173,19 +183,19 @@
             spec.copy(zone = "west"),
             spec.copy(types = listOf("none")),
         )) {
-            val odd = fresh(job)
-            rules.submitted(odd, cluster.now)
-            submit(odd.id, bodyOf(odd), anyNode(), "impossible")
+            val invalid = fresh(job)
+            rules.submitted(invalid, cluster.now)
+            submit(invalid.id, bodyOf(invalid), randomNode(), "impossible")
         }
         return id
     }
 
-    /** Submissions of a job that was accepted, each with something wrong. */
-    fun repeatOddly(spec: JobSpec) {
+    /** Resubmits an accepted job in invalid variants, which must be answered like the accepted job. */
+    fun resubmitInvalid(spec: JobSpec) {
         val whole = WireJson.encodeToJsonElement(JobSpec.serializer(), spec).jsonObject
-        malformed(whole).forEach { submit(spec.id, it.toString(), anyNode(), "odd repeat") }
-        submit(spec.id, bodyOf(spec.copy(cpus = 999.0)), anyNode(), "odd repeat")
-        submit(spec.id, bodyOf(spec.copy(team = "nobody")), anyNode(), "odd repeat")
+        malformed(whole).forEach { submit(spec.id, it.toString(), randomNode(), "odd repeat") }
+        submit(spec.id, bodyOf(spec.copy(cpus = 999.0)), randomNode(), "odd repeat")
+        submit(spec.id, bodyOf(spec.copy(team = "nobody")), randomNode(), "odd repeat")
     }
 
     private fun malformed(whole: JsonObject): List<JsonObject> =
@@ -194,14 +204,14 @@
             listOf(JsonObject(whole - field), JsonObject(whole + (field to wrong)), JsonObject(whole + (field to JsonNull)))
         }
 
-    /** Cancels [count] jobs that run within a fifth of a second, while up to eight of their machines hang. */
+    /** Cancels [count] running jobs within a fifth of a second, while up to eight of their machines hang for [hangUs]. */
     fun cancelNow(
         count: Int,
         hangUs: Micros,
     ) {
         val running =
-            cluster.workers.values.flatMap { machine ->
-                rules.attemptsOn(machine.id).map { it.substringBeforeLast('/') to machine }
+            cluster.agents.values.flatMap { machine ->
+                rules.tasksOn(machine.id).map { it.substringBeforeLast('/') to machine }
             }
         val jobs =
             running
@@ -214,47 +224,48 @@
                 .filter { it.first in jobs }
                 .map { it.second }
                 .distinct()
-                .take(HANGING)
+                .take(MAX_HANGING_MACHINES)
         for (machine in machines) {
             machine.hangingUntilUs = cluster.now + hangUs
-            rules.hangs(machine.id, cluster.now)
-            hung += machine.id
+            rules.machineHung(machine.id, cluster.now)
+            hungMachines += machine.id
         }
         jobs.forEachIndexed { i, job -> cluster.after(i * (SECOND / 5) / jobs.size) { cancel(job, i % SimulatedCluster.NODES) } }
         cancelledRunning += jobs
     }
 
-    /** Cancels a [percent] of the jobs that end, at the moment of their end, for as long as the world runs. */
+    /** From now on cancels [percent] percent of the jobs when their last task completes. */
     fun cancelAtEnd(percent: Int) {
-        cluster.onLastTaskDone = { job ->
-            if (cluster.random.nextInt(PERCENT) < percent) {
+        cluster.onJobCompleted = { job ->
+            if (cluster.random.nextInt(HUNDRED_PERCENT) < percent) {
                 cancelledAtEnd += job
                 val cancelling = cluster.random.nextInt(SimulatedCluster.NODES)
                 cancel(job, cancelling)
-                rules.spec(job)?.let(::lookClosely)
+                rules.spec(job)?.let(::pollRepeatedly)
             }
         }
     }
 
-    /** From now on jobs that wait beside room for them are noticed. */
-    fun watchWaiting() {
-        val working = cluster.workers.values.filter { cluster.now >= it.hangingUntilUs && !it.deaf && it.noticeUs == null }
-        val rooms =
+    /** From now on checks each second whether jobs wait although a machine fits them. */
+    fun watchWaitingJobs() {
+        val working = cluster.agents.values.filter { cluster.now >= it.hangingUntilUs && !it.inboundLost && it.noticeUs == null }
+        val free =
             working.map { machine ->
                 val type = MACHINE_TYPES.first { it.name == machine.type }
-                val specs = machine.held().mapNotNull { rules.spec(it.substringBeforeLast('/')) }
-                val place = RuleChecker.SimPlace(machine.id, machine.zone, machine.spot)
-                RuleChecker.Room(place, machine.type, type.cpus - specs.sumOf { it.cpus }, type.memoryGb - specs.sumOf { it.memoryGb })
+                val specs = machine.assignedTasks().mapNotNull { rules.spec(it.substringBeforeLast('/')) }
+                val place = RuleChecker.TaskPlace(machine.id, machine.zone, machine.spot)
+                val freeCpus = type.cpus - specs.sumOf { it.cpus }
+                RuleChecker.FreeCapacity(place, machine.type, freeCpus, type.memoryGb - specs.sumOf { it.memoryGb })
             }
-        rules.checkWaiting(rooms, cluster.workers.values.flatMapTo(HashSet()) { it.held() }, cluster.now)
-        cluster.after(SECOND) { watchWaiting() }
+        rules.checkWaiting(free, cluster.agents.values.flatMapTo(HashSet()) { it.assignedTasks() }, cluster.now)
+        cluster.after(SECOND) { watchWaitingJobs() }
     }
 
     private companion object {
-        const val MAX_WAITING = 100_000
-        const val PATIENCE: Micros = 5 * SECOND
-        const val HANGING = 8
-        const val PERCENT = 100
+        const val MAX_WAITING_REQUESTS = 100_000
+        const val TIMEOUT: Micros = 5 * SECOND
+        const val MAX_HANGING_MACHINES = 8
+        const val HUNDRED_PERCENT = 100
         val ACCEPTED = listOf(200, 201)
         val OPTIONAL = setOf("breeds", "plot", "due_s")
     }
--- a/src/test/kotlin/mintpick/upgrade/EngineVersion.kt
+++ b/src/test/kotlin/mintpick/upgrade/EngineVersion.kt
@@ -5,7 +5,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Where a version of the service keeps the classes that its engine is driven with, within its own package. */
+/** Names, relative to the root package, of the classes of one version that the tests use to run its engine. */
 internal data class EngineLayout(
     val settings: String,
     val operators: String,
@@ -18,11 +18,12 @@
     val machineReport: String,
     val peerHint: String,
 ) {
-    /** Classes by which a layout is told. */
-    val ownNames: List<String> get() = listOf(engine, replyTo, "$event\$$statusRequest")
+    /** Classes whose presence identifies this layout. */
+    val distinguishingClasses: List<String> get() = listOf(engine, replyTo, "$event\$$statusRequest")
 
     companion object {
-        private val ONE_PACKAGE =
+        /** Layout with all classes of the engine in one package. */
+        private val SINGLE_PACKAGE =
             EngineLayout(
                 settings = "config.Settings",
                 operators = "config.Operators",
@@ -35,91 +36,95 @@
                 peerHint = "wire.PeerHint",
             )
 
-        /** Since the engine's packages are split by concern. */
-        private val BY_CONCERN = ONE_PACKAGE.copy(event = "engine.runtime.Event", replyTo = "engine.runtime.ReplyTo")
+        /** Layout after the engine was split into packages by concern. */
+        private val SPLIT_PACKAGES = SINGLE_PACKAGE.copy(event = "engine.runtime.Event", replyTo = "engine.runtime.ReplyTo")
 
-        /** Since the rename of `Event.Inspect`. */
-        private val STATUS_REQUEST = BY_CONCERN.copy(statusRequest = "StatusRequest")
+        /** Layout after `Event.Inspect` was renamed to `Event.StatusRequest`. */
+        private val RENAMED_STATUS_REQUEST = SPLIT_PACKAGES.copy(statusRequest = "StatusRequest")
 
-        /** The layouts that versions have had: the first that a version's classes fit is taken. */
-        val KNOWN = listOf(STATUS_REQUEST, BY_CONCERN, ONE_PACKAGE)
+        /** All known layouts, newest first. The first one whose distinguishing classes all exist is used. */
+        val KNOWN = listOf(RENAMED_STATUS_REQUEST, SPLIT_PACKAGES, SINGLE_PACKAGE)
     }
 }
 
 /**
- * The version whose compiled classes are in a folder, loaded beside the present one. Libraries and the package of calls, which
- * versions have alike, are shared; everything else of the service is its own.
+ * A version of the service, loaded from a folder of compiled classes by a class loader of its own, beside the present version.
+ * Libraries and the package `mintpick.net`, which is the same in all versions, are shared; all other classes are loaded separately.
  */
 internal class EngineVersion(
     classes: Path,
 ) {
     val layout: EngineLayout =
-        EngineLayout.KNOWN.firstOrNull { layout -> layout.ownNames.all { Files.exists(classes.resolve(fileOf(it))) } }
+        EngineLayout.KNOWN.firstOrNull { layout -> layout.distinguishingClasses.all { Files.exists(classes.resolve(classFileOf(it))) } }
             ?: error("no engine of a known layout in $classes")
 
-    private val loader: ClassLoader = Loader(classes)
+    private val loader: ClassLoader = VersionClassLoader(classes)
 
-    private class Loader(
+    private class VersionClassLoader(
         classes: Path,
     ) : URLClassLoader(arrayOf(classes.toUri().toURL()), EngineVersion::class.java.classLoader) {
         override fun loadClass(
             name: String,
             resolve: Boolean,
         ): Class<*> {
-            if (!name.startsWith(OWN) || name.startsWith(SHARED)) return super.loadClass(name, resolve)
+            if (!name.startsWith(ROOT_PACKAGE) || name.startsWith(SHARED_PACKAGE)) return super.loadClass(name, resolve)
             return synchronized(getClassLoadingLock(name)) { findLoadedClass(name) ?: findClass(name) }
         }
     }
 
-    fun classOf(name: String): Class<*> = loader.loadClass(OWN + name)
+    fun classOf(name: String): Class<*> = loader.loadClass(ROOT_PACKAGE + name)
 
-    /** The instance of an object, or of the companion of a class. */
+    /** The companion object of the class [name]. */
     fun companion(name: String): Any = classOf(name).getField("Companion").get(null)
 
     @Suppress("UNCHECKED_CAST")
     fun serializer(name: String): KSerializer<Any> =
         companion(name).let { it.javaClass.getMethod("serializer").invoke(it) as KSerializer<Any> }
 
-    /** Builds an object of a class whose parameters, value classes among them, are given as they are stored. */
-    fun create(
+    /** Calls the constructor of the class [name]. Arguments of value classes are passed as their underlying values. */
+    fun newInstance(
         name: String,
         vararg values: Any?,
     ): Any {
         val constructors = classOf(name).declaredConstructors
-        val plain = constructors.firstOrNull { it.parameterCount == values.size && !it.isSynthetic && it.modifiers and PRIVATE == 0 }
-        if (plain != null) return plain.newInstance(*values)
-        // A parameter of a value class makes the constructor private; the public one has a marker at its end.
+        val direct = constructors.firstOrNull { it.parameterCount == values.size && !it.isSynthetic && it.modifiers and PRIVATE == 0 }
+        if (direct != null) return direct.newInstance(*values)
+        // A value class parameter makes the constructor private; the compiler adds a public one with a marker as last parameter.
         return constructors.first { it.parameterCount == values.size + 1 && it.isSynthetic }.newInstance(*values, null)
     }
 
     companion object {
-        private const val OWN = "mintpick."
-        private const val SHARED = "mintpick.net."
+        private const val ROOT_PACKAGE = "mintpick."
+        private const val SHARED_PACKAGE = "mintpick.net."
         private const val PRIVATE = java.lang.reflect.Modifier.PRIVATE
-        private val FOLDER = Path.of("target/production")
+        private val BUILDS_FOLDER = Path.of("target/production")
 
-        private fun fileOf(name: String) = (OWN + name).replace('.', '/') + ".class"
+        private fun classFileOf(name: String) = (ROOT_PACKAGE + name).replace('.', '/') + ".class"
 
-        /** The version of [commit], a hash that may be shortened, as `.ci/build-commit` has compiled it. */
+        /** The version of [commit], a full or abbreviated hash, as compiled by `.ci/build-commit`. */
         fun of(commit: String): EngineVersion {
-            val classes = if (commit.isEmpty()) null else folderOf(commit)
-            return EngineVersion(checkNotNull(classes) { "the version $commit could not be built from the repository's history" })
+            val classes = if (commit.isEmpty()) null else buildFolderOf(commit)
+            return EngineVersion(
+                checkNotNull(classes) { "no compiled classes of version '$commit' in $BUILDS_FOLDER, see .ci/build-commit" },
+            )
         }
 
-        private fun folderOf(commit: String): Path? {
-            if (!Files.isDirectory(FOLDER)) return null
-            return Files.list(FOLDER).use { found -> found.filter { it.fileName.toString().startsWith(commit) }.findFirst().orElse(null) }
+        private fun buildFolderOf(commit: String): Path? {
+            if (!Files.isDirectory(BUILDS_FOLDER)) return null
+            return Files.list(BUILDS_FOLDER).use { folders ->
+                folders.filter { it.fileName.toString().startsWith(commit) }.findFirst().orElse(null)
+            }
         }
     }
 }
 
-/** The version in production, which `deploy/service.toml` names. */
+/** The version in production, as named in `deploy/service.toml`. */
 internal object Production {
-    private val COMMIT = Regex("(?m)^production = \"([0-9a-f]+)\"$")
+    private val COMMIT_PATTERN = Regex("(?m)^production = \"([0-9a-f]+)\"$")
 
     val version: EngineVersion by lazy {
         EngineVersion.of(
-            COMMIT
+            COMMIT_PATTERN
                 .find(Files.readString(Path.of("deploy/service.toml")))
                 ?.groupValues
                 ?.get(1)
--- a/src/test/kotlin/mintpick/upgrade/StepCost.kt
+++ b/src/test/kotlin/mintpick/upgrade/StepCpuTime.kt
@@ -2,8 +2,8 @@
 
 import java.lang.management.ManagementFactory
 
-/** Processor time of the steps of one engine, on whichever thread they ran. */
-internal class StepCost {
+/** CPU time of all steps of one engine, measured on the thread that runs each step. */
+internal class StepCpuTime {
     var nanoseconds = 0L
         private set
 
--- a/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
+++ b/src/test/kotlin/mintpick/upgrade/UpgradeTest.kt
@@ -15,22 +15,22 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.TestFactory
 
-/** Controllers of the version in production are exchanged one by one while they serve, and then the limits fall. */
+/** Upgrades controllers from the version in production one by one under load; then the state store's limits are lowered. */
 class UpgradeTest {
     @TestFactory
-    fun `a rolling upgrade keeps every rule, and pipelines run under the lowered limits`() =
+    fun `no rule is broken during a rolling upgrade and pipelines run under the lowered limits`() =
         (301L..306L).map { seed -> DynamicTest.dynamicTest("seed $seed") { playUpgradeDay(seed) } }
 
-    /** What the version in production makes of a record when it rewrites it: it drops what it does not know. */
-    private fun rewritten(
-        record: String,
+    /** The record [value] as the version in production rewrites it, without the fields that it does not know. */
+    private fun rewrittenByProduction(
+        recordClass: String,
         value: JsonElement,
     ): JsonElement {
-        val serializer = Production.version.serializer(record)
+        val serializer = Production.version.serializer(recordClass)
         return WireJson.encodeToJsonElement(serializer, WireJson.decodeFromJsonElement(serializer, value))
     }
 
-    private fun recordOf(key: String): String? =
+    private fun recordClassOf(key: String): String? =
         when (Keys.parse(key)) {
             is Keys.Subject.Job -> "wire.JobRecord"
             is Keys.Subject.Chunk -> "wire.ChunkRecord"
@@ -42,65 +42,69 @@
             else -> null
         }
 
-    /** Records that the version in production would not rewrite as they are. */
-    private fun SimulatedCluster.unreadableBefore(): List<String> =
+    /** Keys of records that would change if the version in production rewrote them. */
+    private fun SimulatedCluster.keysChangedByProduction(): List<String> =
         state.keys().mapNotNull { (key, text) ->
             val value = WireJson.parseToJsonElement(text)
-            key.takeIf { recordOf(it)?.let { record -> rewritten(record, value) != value } ?: false }
+            key.takeIf { recordClassOf(it)?.let { recordClass -> rewrittenByProduction(recordClass, value) != value } ?: false }
         }
 
     @Test
-    fun `while one controller is still old, all that is written is read and rewritten by it without loss`() {
-        val roll = RollingUpgrade(311)
-        val cluster = roll.cluster
-        cluster.beforehand()
+    fun `records written during the upgrade are rewritten by the old version without loss`() {
+        val upgrade = RollingUpgrade(311)
+        val cluster = upgrade.cluster
+        cluster.submitInitialJobs()
         cluster.run(25 * SECOND)
-        val before =
+        val keysBefore =
             cluster.state
                 .keys()
                 .map { it.first }
                 .toSet()
-        roll.exchange(0)
+        upgrade.upgradeNode(0)
         cluster.run(38 * SECOND)
-        roll.exchange(1)
+        upgrade.upgradeNode(1)
         for (at in 39..75) {
             cluster.run(at * SECOND)
-            assertEquals(emptyList<String>(), cluster.unreadableBefore(), "at $at s")
+            assertEquals(emptyList<String>(), cluster.keysChangedByProduction(), "at $at s")
         }
-        val prefixes =
+        val keysWithoutRecordClass =
             (
                 cluster.state
                     .keys()
                     .map { it.first }
-                    .toSet() - before
-            ).filter { recordOf(it) == null }
-        assertEquals(listOf(Keys.format("node-0"), Keys.format("node-1")), prefixes.sorted())
-        // A controller that only wrote nothing would pass: the new ones have placed, finished and listed.
-        assertTrue(cluster.rules.starts > 300, "${cluster.rules.starts} starts")
-        roll.exchange(2)
+                    .toSet() - keysBefore
+            ).filter { recordClassOf(it) == null }
+        assertEquals(listOf(Keys.format("node-0"), Keys.format("node-1")), keysWithoutRecordClass.sorted())
+        // The checks above also pass if the upgraded controllers write nothing, so tasks must have been started.
+        assertTrue(cluster.rules.starts > 300, "${cluster.rules.starts} task starts")
+        upgrade.upgradeNode(2)
         cluster.run(110 * SECOND)
-        assertNotEquals(emptyList<String>(), cluster.unreadableBefore(), "the compact format is in use afterwards")
+        assertNotEquals(
+            emptyList<String>(),
+            cluster.keysChangedByProduction(),
+            "the compact format is used after the last controller is upgraded",
+        )
         cluster.assertRulesHeld()
     }
 
-    /** An old controller that waits for its turn for long: submissions with the new field are refused, and may come again. */
+    /** While one controller still runs the old version, jobs with predecessors are refused with 503 and can be resubmitted later. */
     @Test
-    fun `a job that waits for others is not accepted before all controllers know what that means`() {
-        val roll = RollingUpgrade(312)
-        val cluster = roll.cluster
-        val earlier = cluster.beforehand()
+    fun `a job with predecessors is refused until all controllers support predecessors`() {
+        val upgrade = RollingUpgrade(312)
+        val cluster = upgrade.cluster
+        val initialJobs = cluster.submitInitialJobs()
         cluster.run(20 * SECOND)
-        roll.exchange(0)
-        roll.exchange(1)
+        upgrade.upgradeNode(0)
+        upgrade.upgradeNode(1)
         cluster.run(50 * SECOND)
-        val job = SampleJobs.spec("req-000200", "blue", estimateS = 2.0).copy(predecessors = listOf(earlier[1].id))
+        val job = SampleJobs.spec("req-000200", "blue", estimateS = 2.0).copy(predecessors = listOf(initialJobs[1].id))
         val statuses = ArrayList<Int>()
         (0..1).forEach { n -> cluster.submitTo(n, job) { statuses.add(it) } }
         cluster.run(55 * SECOND)
         assertEquals(listOf(503, 503), statuses)
-        roll.exchange(2)
+        upgrade.upgradeNode(2)
         cluster.run(70 * SECOND)
-        cluster.user(job, null)
+        cluster.addUser(job, null)
         cluster.run(150 * SECOND)
         cluster.assertRulesHeld()
         assertTrue(cluster.rules.isComplete(job.id))
--- a/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
+++ b/src/test/kotlin/mintpick/upgrade/VersionedEngine.kt
@@ -19,12 +19,15 @@
 import java.lang.reflect.Proxy
 import java.util.SplittableRandom
 
-/** A controller that runs the engine of [version], with [toml] as its settings; [cost] takes what its steps alone cost. */
+/**
+ * A controller that runs the engine of [version] with the settings [toml]. Events and effects are converted between the classes of
+ * both versions; [cpuTime] measures the engine's steps without this conversion.
+ */
 internal class VersionedEngine(
     private val version: EngineVersion,
     toml: String,
     random: SplittableRandom,
-    private val cost: StepCost = StepCost(),
+    private val cpuTime: StepCpuTime = StepCpuTime(),
 ) : SimulatedCluster.Controller {
     private val layout = version.layout
     private val engine: Any
@@ -33,7 +36,7 @@
     init {
         val settings = version.companion(layout.settings).let { it.javaClass.getMethod("parse", String::class.java).invoke(it, toml) }
         val operators = version.classOf(layout.operators).getDeclaredConstructor().newInstance()
-        engine = version.create(layout.engine, settings, operators, random)
+        engine = version.newInstance(layout.engine, settings, operators, random)
         step = engine.javaClass.methods.first { it.name == "step" }
     }
 
@@ -42,12 +45,12 @@
         wallClockUs: Micros,
         events: List<Event>,
     ): List<Effect> {
-        val translated = events.map(::own)
-        val effects = cost.measure { invoke(now, wallClockUs, translated) }
-        return effects.map { present(requireNotNull(it)) }
+        val versionEvents = events.map(::toVersion)
+        val effects = cpuTime.measure { invoke(now, wallClockUs, versionEvents) }
+        return effects.map { toPresent(requireNotNull(it)) }
     }
 
-    /** What the engine itself throws comes out as it is. */
+    /** Calls the engine's step and rethrows its exceptions unwrapped. */
     private fun invoke(
         now: Micros,
         wallClockUs: Micros,
@@ -59,35 +62,39 @@
             throw e.targetException
         }
 
-    private fun own(event: Event): Any =
+    private fun toVersion(event: Event): Any =
         when (event) {
-            is Event.Submit -> create("Submit", own(layout.jobSpec, JobSpec.serializer(), event.spec), own(event.reply))
-            is Event.Malformed -> create("Malformed", event.id.text, event.reason, own(event.reply))
-            is Event.Poll -> create("Poll", event.id.text, own(event.reply))
-            is Event.Cancel -> create("Cancel", event.id.text, own(event.reply))
-            is Event.Report -> create("Report", own(layout.machineReport, MachineReport.serializer(), event.report), own(event.reply))
-            is Event.Hint -> create("Hint", own(event.hint), own(event.reply))
-            is Event.StatusRequest -> create(layout.statusRequest, own(event.reply))
-            is Event.CallDone -> create("CallDone", event.id, event.outcome)
+            is Event.Submit -> newEvent("Submit", toVersion(layout.jobSpec, JobSpec.serializer(), event.spec), toVersion(event.reply))
+            is Event.Malformed -> newEvent("Malformed", event.id.text, event.reason, toVersion(event.reply))
+            is Event.Poll -> newEvent("Poll", event.id.text, toVersion(event.reply))
+            is Event.Cancel -> newEvent("Cancel", event.id.text, toVersion(event.reply))
+            is Event.Report -> {
+                val report = toVersion(layout.machineReport, MachineReport.serializer(), event.report)
+                newEvent("Report", report, toVersion(event.reply))
+            }
+            is Event.Hint -> newEvent("Hint", toVersion(event.hint), toVersion(event.reply))
+            is Event.StatusRequest -> newEvent(layout.statusRequest, toVersion(event.reply))
+            is Event.CallDone -> newEvent("CallDone", event.id, event.outcome)
         }
 
-    private fun create(
+    private fun newEvent(
         event: String,
         vararg values: Any?,
-    ): Any = version.create("${layout.event}\$$event", *values)
+    ): Any = version.newInstance("${layout.event}\$$event", *values)
 
-    private fun own(hint: PeerHint): Any {
+    private fun toVersion(hint: PeerHint): Any {
         val bytes = PeerProtobuf.encodeToByteArray(PeerHint.serializer(), hint)
         return PeerProtobuf.decodeFromByteArray(version.serializer(layout.peerHint), bytes)
     }
 
-    private fun <T> own(
+    private fun <T> toVersion(
         name: String,
         serializer: KSerializer<T>,
         value: T,
     ): Any = WireJson.decodeFromString(version.serializer(name), WireJson.encodeToString(serializer, value))
 
-    private class Handler(
+    /** Implements the version's reply interface by forwarding to [reply]. */
+    private class ReplyHandler(
         val reply: ReplyTo,
     ) : InvocationHandler {
         override fun invoke(
@@ -104,14 +111,14 @@
             }
     }
 
-    private fun own(reply: ReplyTo): Any {
+    private fun toVersion(reply: ReplyTo): Any {
         val type = version.classOf(layout.replyTo)
-        return Proxy.newProxyInstance(type.classLoader, arrayOf(type), Handler(reply))
+        return Proxy.newProxyInstance(type.classLoader, arrayOf(type), ReplyHandler(reply))
     }
 
-    private fun present(effect: Any): Effect {
-        fun read(name: String) = effect.javaClass.getMethod("get$name").invoke(effect)
-        if (effect.javaClass.simpleName == "Start") return Effect.Start(read("Id") as Long, read("Call") as Call)
-        return Effect.Send((Proxy.getInvocationHandler(read("Reply")) as Handler).reply, read("Answer") as Answer)
+    private fun toPresent(effect: Any): Effect {
+        fun property(name: String) = effect.javaClass.getMethod("get$name").invoke(effect)
+        if (effect.javaClass.simpleName == "Start") return Effect.Start(property("Id") as Long, property("Call") as Call)
+        return Effect.Send((Proxy.getInvocationHandler(property("Reply")) as ReplyHandler).reply, property("Answer") as Answer)
     }
 }
